--- a/src/woadrun/decisions/__init__.py
+++ b/src/woadrun/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as plain functions of state, time and input."""
+"""Admission, routing and scheduling policies as functions without I/O."""
--- a/src/woadrun/decisions/admission.py
+++ b/src/woadrun/decisions/admission.py
@@ -1,24 +1,24 @@
-"""Early refusal, limits of rows and retry budgets."""
+"""Shares of row limits, token buckets, retry budgets and early refusal."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 import dataclasses
 
-# Up to so many units for each domain a limit is kept whole by one domain:
-# cut into shares it would leave some domains with nothing.
-SPLIT_FROM = 8
-# A retry budget saves up at most this many retries.
-MOST_RETRIES = 10.0
-# Most places or calls that are lent ahead of need.
-MOST_SPARE = 16
+# A limit below this many units per failure domain is held by a single domain:
+# divided into shares, it would leave some domains with nothing.
+MIN_UNITS_PER_DOMAIN = 8
+# A retry budget accumulates at most this many retries.
+MAX_SAVED_RETRIES = 10.0
+# At most this many places or calls are lent to a daemon in advance.
+MAX_LENT_IN_ADVANCE = 16
 
 
 def get_share(limit: int, domains: Sequence[str], domain: str) -> int:
-  """Returns the part of a limit that one domain may use by itself.
+  """Returns the share of a limit that one failure domain enforces alone.
 
-  The parts add up to the limit, so that it holds while domains are cut
-  off from each other.
+  The shares add up to the limit, so the limit holds during a network
+  partition between domains.
   """
   ordered = sorted(domains)
   index = ordered.index(domain)
@@ -27,31 +27,41 @@
 
 
 def is_split(limit: float, domains: Sequence[str]) -> bool:
-  """Returns whether each domain keeps a part of the limit itself."""
-  return limit >= SPLIT_FROM * len(domains)
+  """Returns whether the limit is divided into one share per domain."""
+  return limit >= MIN_UNITS_PER_DOMAIN * len(domains)
 
 
 def get_spare(free: int, members: int) -> int:
-  """Returns how much of a free limit to lend ahead of need to one daemon.
+  """Returns how many free units to lend to one daemon in advance.
 
-  So little that all daemons together could take as much and leave half.
+  `free` counts the units of the limit that are not lent, `members` the
+  daemons that may borrow.  If every daemon borrows as much, half of `free`
+  is left.
   """
-  return max(0, min(MOST_SPARE, free // (2 * max(1, members))))
+  return max(0, min(MAX_LENT_IN_ADVANCE, free // (2 * max(1, members))))
 
 
 def estimate_return(waiting: int, slots: int, seconds: float) -> float:
-  """Returns the seconds until a refused call has a chance to start."""
+  """Returns the seconds after which a refused call should be retried.
+
+  `waiting` counts queued calls, `slots` the calls that run concurrently, and
+  `seconds` is the mean duration of a call.
+  """
   return max(0.5, waiting / max(1, slots) * seconds)
 
 
 def fill(level: float, *, seconds: float, rate: float, burst: float) -> float:
-  """Returns the level of a token bucket after some seconds."""
+  """Returns the level of a token bucket after `seconds` of refill at `rate`."""
   return min(burst, level + seconds * rate)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Bucket:
-  """A token bucket; `rate` in units a second."""
+  """A token bucket with one level for an exact rate.
+
+  `rate` is in units per second, `burst` and `level` in units.  `filled_at` is
+  the time of the last refill, in seconds.
+  """
 
   rate: float
   burst: float
@@ -59,7 +69,10 @@
   filled_at: float
 
   def take(self, now: float) -> float:
-    """Returns 0 and takes one unit, or the seconds until there is one."""
+    """Takes one unit, if the bucket has one.
+
+    Returns 0 if the unit was taken, else the seconds until one is available.
+    """
     seconds = now - self.filled_at
     self.level = fill(
       self.level, seconds=seconds, rate=self.rate, burst=self.burst
@@ -75,16 +88,19 @@
 
 @dataclasses.dataclass(kw_only=True)
 class RetryBudget:
-  """Retries that first calls have earned."""
+  """Limits retries to a fraction of first calls.
+
+  `level` is the number of retries that are available.
+  """
 
   level: float = 1.0
 
   def note_call(self, share: float) -> None:
-    """Earns the row's share of a retry."""
-    self.level = min(MOST_RETRIES, self.level + share)
+    """Adds `share` of a retry to the budget, for one first call."""
+    self.level = min(MAX_SAVED_RETRIES, self.level + share)
 
   def take(self) -> bool:
-    """Returns whether one more retry is within the budget, and takes it."""
+    """Takes one retry; returns False if the budget has none left."""
     if self.level < 1.0:
       return False
     self.level -= 1.0
--- a/src/woadrun/decisions/draws.py
+++ b/src/woadrun/decisions/draws.py
@@ -1,11 +1,12 @@
-"""Which upstreams a call is compared at, where many daemons choose at once.
+"""Random sampling of candidate upstreams ("power of two choices").
 
 Load pattern: hundreds of daemons place short calls on a few dozen upstreams of
-a few slots each, by counts that are a quarter of a second old.  If each takes
-the emptiest of all, all of them take the same one until the counts catch up,
-and calls wait there while others are empty.  The better one of two that are
-drawn at random, one nearby and one anywhere, spreads them.  More draws come
-nearer to the emptiest of all again.
+a few slots each, using load counts that are a quarter of a second old.  If each
+daemon chose the least loaded upstream, all daemons would choose the same one
+until the counts were updated, and calls would queue there while other upstreams
+were idle.  Each daemon instead takes the better of two random upstreams, one in
+its own failure domain and one in any domain, which spreads the calls.  More
+samples would approximate the least loaded upstream and bring the herding back.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 
 T = TypeVar('T')
 
-# Draws until one that is fit is found.  After that all are looked at in turn:
-# so many misses in a row mean that few are fit.
-MOST_DRAWS = 8
+# Number of random draws in search of an eligible upstream before a linear scan:
+# that many misses in a row mean that few upstreams are eligible.
+MAX_DRAWS = 8
 
 
 def draw(
@@ -29,10 +30,12 @@
   is_fit: Callable[[T], bool],
   pick: Callable[[Sequence[T]], T],
 ) -> list[T]:
-  """Returns an upstream nearby and another one anywhere, if any are fit.
+  """Returns up to two different eligible upstreams, drawn at random.
 
-  `pick` draws one of several at random.  The time that it takes does not grow
-  with the number of upstreams while most are fit.
+  The first is from `near`, the second from `everywhere`.  `is_fit` tells
+  whether an upstream is eligible; `pick` returns a random element of a
+  sequence.  The run time does not grow with the number of upstreams while most
+  of them are eligible.
   """
   first = _draw_one(near, is_fit, pick)
   second = _draw_one(
@@ -42,11 +45,11 @@
 
 
 def _draw_one(
-  some: Sequence[T],
+  items: Sequence[T],
   is_fit: Callable[[T], bool],
   pick: Callable[[Sequence[T]], T],
 ) -> T | None:
-  if not some:
+  if not items:
     return None
-  drawn = (pick(some) for _ in range(MOST_DRAWS))
-  return next(filter(is_fit, itertools.chain(drawn, some)), None)
+  drawn = (pick(items) for _ in range(MAX_DRAWS))
+  return next(filter(is_fit, itertools.chain(drawn, items)), None)
--- a/src/woadrun/decisions/hedging.py
+++ b/src/woadrun/decisions/hedging.py
@@ -1,43 +1,42 @@
-"""When a request that may be repeated is sent to a second instance.
+"""Hedging of idempotent requests: when to send one to a second instance.
 
-An answer that was lost on its way never comes: its caller would wait until
-its deadline.  A second send finds out, at a bounded cost.
+If a response is lost in transit, the caller would wait until its deadline.  A
+hedged request to another instance recovers from the loss at a bounded cost.
 """
 
 from __future__ import annotations
 
-# A second send is due after so many times what a request takes there on
-# average: hardly any answer that comes at all takes longer.
-TIMES_USUAL = 4.0
-# Instances answer no faster than the way and a scheduler's turn, in seconds.
-LEAST_SECONDS = 0.25
-# Second sends for each first one, at most: a service that is slow as a whole
-# must not get twice its load.
+# The hedging delay is this multiple of the mean latency of the service: hardly
+# any response that arrives at all takes longer.
+DELAY_FACTOR = 4.0
+# Lower bound of the hedging delay, in seconds: no instance responds faster than
+# a network round trip and a scheduling delay.
+MIN_DELAY_SECONDS = 0.25
+# Upper bound of hedged requests per first request: a service that is slow as a
+# whole must not receive twice its load.
 SHARE = 0.1
-# Second sends that may come in a row after a calm time.
+# At most this many hedged requests may follow each other after a period
+# without any.
 MOST_SAVED = 10.0
 
 
-def get_patience(usual: float) -> float:
-  """Returns when a second send is due, from what a request usually takes.
-
-  Both are in seconds.
-  """
-  return max(LEAST_SECONDS, TIMES_USUAL * usual)
+def get_patience(mean_seconds: float) -> float:
+  """Returns the hedging delay for a mean latency, both in seconds."""
+  return max(MIN_DELAY_SECONDS, DELAY_FACTOR * mean_seconds)
 
 
 class HedgeBudget:
-  """Second sends in proportion to first ones."""
+  """Limits hedged requests to a fraction of first requests."""
 
   def __init__(self) -> None:
     self._saved = MOST_SAVED
 
   def note_first(self) -> None:
-    """Counts a request that was sent for the first time."""
+    """Adds to the budget for one first request."""
     self._saved = min(MOST_SAVED, self._saved + SHARE)
 
   def take(self) -> bool:
-    """Returns whether a second send is allowed now, which it then counts."""
+    """Takes one hedged request; returns False if the budget has none left."""
     if self._saved < 1:
       return False
     self._saved -= 1
--- a/src/woadrun/decisions/pace.py
+++ b/src/woadrun/decisions/pace.py
@@ -1,27 +1,30 @@
-"""How often to write, so that all daemons stay within the platform's rate."""
+"""Write intervals that keep all daemons within the platform's write rate."""
 
 from __future__ import annotations
 
-# Where daemons write for themselves only while that is no slower, so long
-# may the interval between two writes of one writer be.
+# Upper bound of the interval between two writes of one writer.  A domain uses
+# fewer writers if the interval would be longer.
 LONGEST_SECONDS = 1.0
 
 
-def get_interval(least: float, writers: int, writes_per_second: float) -> float:
-  """Returns the seconds between two writes of each of many writers.
+def get_interval(
+  min_interval: float, writers: int, writes_per_second: float
+) -> float:
+  """Returns the seconds between two writes of each writer.
 
-  All writers together then write `writes_per_second` at the most, however
-  many there are.
+  With this interval all writers together stay within `writes_per_second`,
+  however many writers there are.  `min_interval` is a lower bound.
   """
-  return max(least, writers / writes_per_second)
+  return max(min_interval, writers / writes_per_second)
 
 
 def get_writers(members: int, domains: int, writes_per_second: float) -> int:
-  """Returns how many of a domain's members write for all of them.
+  """Returns how many members of a domain write on behalf of all its members.
 
-  Beyond some number of daemons each writing for itself would be too seldom;
-  the writers' interval stays at `LONGEST_SECONDS` or below while there are
-  no more domains than writes a second.
+  If every daemon of a large fleet wrote for itself, each would write too
+  rarely.  With the returned number of writers their interval is at most
+  `LONGEST_SECONDS`, as long as there are no more domains than
+  `writes_per_second`.
   """
   share = int(writes_per_second * LONGEST_SECONDS / max(1, domains))
   return min(members, max(1, share))
--- a/src/woadrun/decisions/program_need.py
+++ b/src/woadrun/decisions/program_need.py
@@ -1,39 +1,42 @@
-"""Whether a team's rate holds one more program.
+"""Admission control of programs against the request rate of their team.
 
-Answers a team that begins more programs than its rate lets through: admitted
-one by one, the requests of all would be refused in turn and no program would
-end.  Programs are refused at their first request, so that those under way end.
-What a program needs is learned from programs that ended.
+Load pattern: a team starts more programs than its request rate can serve.  If
+requests were admitted one by one, requests of every program would be refused in
+turn and no program would complete.  Programs are therefore refused at their
+first request, so that running programs complete.  The demand of a program is
+learned from programs that have ended.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# Weight of the newest program in what programs of its kind need.
+# Weight of the newest sample in the moving averages of a kind of programs.
 LEARN_WEIGHT = 0.1
-# A program without a request for so long has ended, in seconds.
-IDLE_SECONDS = 2.0
-# The shortest time of a program that is learned, in seconds.
-LEAST_SECONDS = 0.1
-# How much slower programs may become by waiting for their rate: one request
-# after the other, each program waits instead of being refused.  The most urgent
-# ones begin beside more others than less urgent ones do, so that these are
-# refused first.
-SLOWDOWN = 2.3
-STEP = 0.6
+# A program that has sent no request for this long is considered ended.
+IDLE_TIMEOUT_SECONDS = 2.0
+# Lower bound of a program's duration, which is a divisor.
+MIN_DURATION_SECONDS = 0.1
+# The factor by which programs may be slowed down by waiting for the rate.  A
+# program sends one request after the other, so it waits instead of being
+# refused.  The factor is highest for the most urgent priority (0) and decreases
+# by a step per priority level: a more urgent program may start beside more
+# running programs, so that less urgent programs are refused first.
+MAX_SLOWDOWN = 2.3
+SLOWDOWN_STEP_PER_PRIORITY = 0.6
 
 
 def get_slowdown(priority: int) -> float:
-  """Returns how much slower programs may become as one begins."""
-  return max(1.0, SLOWDOWN - STEP * priority)
+  """Returns the allowed slowdown when a program of `priority` starts."""
+  return max(1.0, MAX_SLOWDOWN - SLOWDOWN_STEP_PER_PRIORITY * priority)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Need:
-  """What programs of one kind take: requests, and the seconds they last.
+  """The average demand of the programs of one kind.
 
-  The seconds are without the time that their requests waited for the rate.
+  `requests` is the number of requests of one program, `seconds` its duration
+  without the time that its requests waited for the rate.
   """
 
   requests: float
@@ -41,53 +44,56 @@
 
   @property
   def per_second(self) -> float:
-    """The requests a second of one program."""
-    return self.requests / max(LEAST_SECONDS, self.seconds)
+    """The request rate of one program, in requests per second."""
+    return self.requests / max(MIN_DURATION_SECONDS, self.seconds)
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Running:
+class _RunningProgram:
   kind: str
-  began: float
-  last: float
+  started_at: float
+  last_request_at: float
   requests: int = 0
-  waited: float = 0.0
+  waited_seconds: float = 0.0
 
 
 class Programs:
-  """A team's programs under way, and what programs of each kind needed."""
+  """The running programs of one team, and the learned demand of each kind."""
 
   def __init__(self) -> None:
     self.need_by_kind: dict[str, Need] = {}
-    self._running_by_id: dict[str, _Running] = {}
+    self._running_by_id: dict[str, _RunningProgram] = {}
 
   def note(self, id: str, kind: str, now: float, *, wait: float = 0.0) -> None:
-    """Takes note of a request of a program, sent after `wait` seconds."""
+    """Records a granted request of a program.
+
+    The request is sent after `wait` seconds.
+    """
     running = self._running_by_id.get(id)
     if running is None:
-      running = _Running(kind=kind, began=now, last=now)
+      running = _RunningProgram(kind=kind, started_at=now, last_request_at=now)
       self._running_by_id[id] = running
     running.requests += 1
-    running.last = now + wait
-    running.waited += wait
+    running.last_request_at = now + wait
+    running.waited_seconds += wait
 
   def is_running(self, id: str) -> bool:
-    """Returns whether a program is under way."""
+    """Returns whether a program is running."""
     return id in self._running_by_id
 
   def end_idle(self, now: float) -> None:
-    """Learns from the programs that have ended."""
+    """Removes programs that have ended and learns their demand."""
     ended = [
       id
       for id, running in self._running_by_id.items()
-      if now - running.last > IDLE_SECONDS
+      if now - running.last_request_at > IDLE_TIMEOUT_SECONDS
     ]
     for id in ended:
       self._learn(self._running_by_id.pop(id))
 
-  def _learn(self, ended: _Running) -> None:
+  def _learn(self, ended: _RunningProgram) -> None:
     need = self.need_by_kind.get(ended.kind)
-    seconds = ended.last - ended.began - ended.waited
+    seconds = ended.last_request_at - ended.started_at - ended.waited_seconds
     if need is None:
       found = Need(requests=ended.requests, seconds=seconds)
       self.need_by_kind[ended.kind] = found
@@ -98,24 +104,32 @@
   def get_excess(
     self, kind: str, *, level: float, rate: float, slowdown: float
   ) -> float:
-    """Returns by how many requests a second one more program is too much.
+    """Returns the excess demand if one more program of `kind` starts.
 
-    `level` units are there and `rate` come a second.  In the time of the
-    program they cover what it and all under way send, `slowdown` times slower.
+    The result is in requests per second; the program fits if it is 0 or less.
+    `level` is the number of units in the token bucket, `rate` the units added
+    per second.  For the duration of the program they have to cover the requests
+    of the program and of all running ones, slowed down by the factor
+    `slowdown`.  A kind without a known demand has no excess.
     """
     need = self.need_by_kind.get(kind)
     if need is None:
       return 0.0
-    under_way = sum(
+    running_rate = sum(
       self.need_by_kind[running.kind].per_second
       for running in self._running_by_id.values()
       if running.kind in self.need_by_kind
     )
-    spare = max(0.0, level) / max(LEAST_SECONDS, need.seconds)
-    return under_way + need.per_second - rate * slowdown - spare
+    spare = max(0.0, level) / max(MIN_DURATION_SECONDS, need.seconds)
+    return running_rate + need.per_second - rate * slowdown - spare
 
   def estimate_return(self, kind: str, *, excess: float) -> float:
-    """Returns the seconds until so much of what is under way has ended."""
+    """Returns the seconds until running programs have freed the excess demand.
+
+    `excess` is a positive result of `get_excess` for the same kind.
+    """
     need = self.need_by_kind[kind]
-    ending = len(self._running_by_id) * need.per_second
-    return need.seconds * min(1.0, excess / max(ending, need.per_second))
+    running_demand = len(self._running_by_id) * need.per_second
+    return need.seconds * min(
+      1.0, excess / max(running_demand, need.per_second)
+    )
--- a/src/woadrun/decisions/queue.py
+++ b/src/woadrun/decisions/queue.py
@@ -1,12 +1,12 @@
-"""The order of calls that wait for one upstream.
+"""Queues that order the calls waiting for one upstream.
 
-Between rows: weighted fair shares by start-time fair queueing, so that a
-row that has work waiting gets at least its share and nothing idles.
-Within a row: calls of programs that have had little service go first.
-The service a program has attained counts as a delay of its arrival; the
-key of a call never changes, it ages by itself, and nothing starves.
+Between rows: start-time fair queueing by weight, which is work-conserving and
+gives each row with waiting calls at least its share.
+Within a row: least attained service first.  The service that a program has
+attained is converted to a delay that is added to the arrival time of the call.
+This sort key never changes, so a call ages without updates and no call starves.
 
-Each step costs the logarithm of the rows and of the calls that wait.
+Each operation takes time logarithmic in the number of rows and waiting calls.
 """
 
 from __future__ import annotations
@@ -17,17 +17,21 @@
 import math
 
 # Each doubling of a program's attained service delays its calls by this.
-
-DELAY_PER_DOUBLING = 4.0
-# Service up to this many seconds does not count.
-FREE_SECONDS = 1.0
-# No call is delayed by more; this bounds how long one can be overtaken.
-MOST_DELAY = 40.0
+DELAY_SECONDS_PER_DOUBLING = 4.0
+# Attained service up to this threshold causes no delay.
+FREE_SERVICE_SECONDS = 1.0
+# Upper bound of the delay, which bounds how long a call can be overtaken.
+MAX_DELAY_SECONDS = 40.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Waiting:
-  """A call that waits; times and costs are in seconds."""
+  """A queued call.
+
+  `weight` is that of its row.  `attained` is the service that its program has
+  received, `cost` the expected service time of the call and `arrived` its
+  arrival time, all in seconds.
+  """
 
   id: str
   row: str
@@ -39,117 +43,120 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class _RowQueue:
-  """The calls of one row and the virtual time it has reached."""
+  """The queued calls of one row, and the row's virtual start time."""
 
-  virtual: float
+  virtual_time: float
   heap: list[tuple[float, int, Waiting]]
 
 
 def get_delay(attained: float) -> float:
-  """Returns the seconds by which attained service delays a call."""
-  if attained <= FREE_SECONDS:
+  """Returns the delay of a call for attained service, both in seconds."""
+  if attained <= FREE_SERVICE_SECONDS:
     return 0.0
-  doublings = math.log2(attained / FREE_SECONDS)
-  return min(MOST_DELAY, DELAY_PER_DOUBLING * doublings)
+  doublings = math.log2(attained / FREE_SERVICE_SECONDS)
+  return min(MAX_DELAY_SECONDS, DELAY_SECONDS_PER_DOUBLING * doublings)
 
 
 class FairQueue:
-  """Calls that wait for one upstream, by row."""
+  """Calls queued for one upstream, with weighted fair sharing between rows."""
 
   def __init__(self) -> None:
     self._row_by_key: dict[str, _RowQueue] = {}
-    self._active: list[tuple[float, int, str]] = []
-    self._numbers = itertools.count()
-    self._virtual = 0.0
-    self._live: set[str] = set()
+    self._active_rows: list[tuple[float, int, str]] = []
+    self._sequence = itertools.count()
+    self._virtual_time = 0.0
+    self._waiting_ids: set[str] = set()
 
   def __len__(self) -> int:
-    return len(self._live)
+    return len(self._waiting_ids)
 
   def push(self, call: Waiting) -> None:
-    """Adds a call."""
+    """Adds a call to the queue."""
     row = self._row_by_key.get(call.row)
     if row is None:
-      row = _RowQueue(virtual=self._virtual, heap=[])
+      row = _RowQueue(virtual_time=self._virtual_time, heap=[])
       self._row_by_key[call.row] = row
     if not row.heap:
-      row.virtual = max(row.virtual, self._virtual)
+      row.virtual_time = max(row.virtual_time, self._virtual_time)
       self._activate(call.row, row)
     key = call.arrived + get_delay(call.attained)
-    heapq.heappush(row.heap, (key, next(self._numbers), call))
-    self._live.add(call.id)
+    heapq.heappush(row.heap, (key, next(self._sequence), call))
+    self._waiting_ids.add(call.id)
 
   def remove(self, call_id: str) -> None:
-    """Takes out a call that no longer waits."""
-    self._live.discard(call_id)
+    """Removes a call that is no longer waiting."""
+    self._waiting_ids.discard(call_id)
 
   def pop(self) -> Waiting | None:
-    """Returns the call that goes next, or None where none waits."""
-    while self._active:
-      virtual, _, key = heapq.heappop(self._active)
+    """Removes and returns the next call, or returns None if none waits."""
+    while self._active_rows:
+      virtual_time, _, key = heapq.heappop(self._active_rows)
       row = self._row_by_key[key]
-      call = self._pop_live(row)
+      call = self._pop_waiting(row)
       if call is None:
-        self._forget(key, row)
+        self._drop_idle_row(key, row)
         continue
-      self._virtual = max(self._virtual, virtual)
-      row.virtual = virtual + call.cost / call.weight
+      self._virtual_time = max(self._virtual_time, virtual_time)
+      row.virtual_time = virtual_time + call.cost / call.weight
       if row.heap:
         self._activate(key, row)
       return call
     return None
 
   def _activate(self, key: str, row: _RowQueue) -> None:
-    heapq.heappush(self._active, (row.virtual, next(self._numbers), key))
+    heapq.heappush(
+      self._active_rows, (row.virtual_time, next(self._sequence), key)
+    )
 
-  def _pop_live(self, row: _RowQueue) -> Waiting | None:
+  def _pop_waiting(self, row: _RowQueue) -> Waiting | None:
     while row.heap:
       call = heapq.heappop(row.heap)[2]
-      if call.id in self._live:
-        self._live.discard(call.id)
+      if call.id in self._waiting_ids:
+        self._waiting_ids.discard(call.id)
         return call
     return None
 
-  def _forget(self, key: str, row: _RowQueue) -> None:
-    if row.virtual <= self._virtual:
+  def _drop_idle_row(self, key: str, row: _RowQueue) -> None:
+    if row.virtual_time <= self._virtual_time:
       del self._row_by_key[key]
 
 
 class ShortestQueue:
-  """The bound: the call whose program needs least goes first.
+  """Shortest-first order, the theoretical optimum for experiments.
 
-  Nothing but an experiment can know that; `attained` stands for it.
+  `attained` holds the remaining service of the call's program, which only a
+  simulation can know.
   """
 
   def __init__(self) -> None:
     self._heap: list[tuple[float, int, Waiting]] = []
-    self._numbers = itertools.count()
-    self._live: set[str] = set()
+    self._sequence = itertools.count()
+    self._waiting_ids: set[str] = set()
 
   def __len__(self) -> int:
-    return len(self._live)
+    return len(self._waiting_ids)
 
   def push(self, call: Waiting) -> None:
-    """Adds a call."""
-    heapq.heappush(self._heap, (call.attained, next(self._numbers), call))
-    self._live.add(call.id)
+    """Adds a call to the queue."""
+    heapq.heappush(self._heap, (call.attained, next(self._sequence), call))
+    self._waiting_ids.add(call.id)
 
   def remove(self, call_id: str) -> None:
-    """Takes out a call that no longer waits."""
-    self._live.discard(call_id)
+    """Removes a call that is no longer waiting."""
+    self._waiting_ids.discard(call_id)
 
   def pop(self) -> Waiting | None:
-    """Returns the call that goes next, or None where none waits."""
+    """Removes and returns the next call, or returns None if none waits."""
     while self._heap:
       call = heapq.heappop(self._heap)[2]
-      if call.id in self._live:
-        self._live.discard(call.id)
+      if call.id in self._waiting_ids:
+        self._waiting_ids.discard(call.id)
         return call
     return None
 
 
 class ArrivalQueue:
-  """The naive order: first come, first served, whoever asks."""
+  """First-come, first-served order across all rows, the naive baseline."""
 
   def __init__(self) -> None:
     self._calls: dict[str, Waiting] = {}
@@ -158,15 +165,15 @@
     return len(self._calls)
 
   def push(self, call: Waiting) -> None:
-    """Adds a call."""
+    """Adds a call to the queue."""
     self._calls[call.id] = call
 
   def remove(self, call_id: str) -> None:
-    """Takes out a call that no longer waits."""
+    """Removes a call that is no longer waiting."""
     self._calls.pop(call_id, None)
 
   def pop(self) -> Waiting | None:
-    """Returns the call that came first, or None where none waits."""
+    """Removes and returns the oldest call, or returns None if none waits."""
     for call_id in self._calls:
       return self._calls.pop(call_id)
     return None
--- a/src/woadrun/decisions/rate_limit.py
+++ b/src/woadrun/decisions/rate_limit.py
@@ -1,8 +1,9 @@
-"""How a team's requests are held to its rate.
+"""Token bucket that limits the requests of a team to its rate.
 
-Answers a burst at a team's limit: a request that has its turn soon waits for
-it, one that does not is refused at once.  Whatever is granted, no span of time
-has more than the rate for its length and one burst.
+Load pattern: a team at its limit sends a burst.  A request whose unit becomes
+available soon is granted it in advance and waits; any other request is refused
+immediately.  Over any period of time, granted requests never exceed the rate
+times the length of the period plus one burst.
 """
 
 from __future__ import annotations
@@ -11,16 +12,17 @@
 
 from woadrun.decisions import admission
 
-# A request that would wait longer is refused, in seconds: its caller does
-# better to come back.
+# A request that would have to wait longer is refused, so that its caller
+# retries later.
 MOST_WAIT_SECONDS = 0.5
 
 
 @dataclasses.dataclass(kw_only=True)
 class Bucket:
-  """Units that may be granted now; below 0 where some are promised.
+  """The state of a token bucket, without its rate and burst.
 
-  `at` is when `level` was right, in seconds.
+  `level` is the number of available units; it is negative if units were granted
+  in advance.  `at` is the time of the last update of `level`, in seconds.
   """
 
   level: float
@@ -29,10 +31,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-  """Whether a unit is granted.
+  """The result of a request for one unit.
 
-  A granted one may be used after `wait`, a refused one asked for again after
-  `retry_after`, both in seconds.
+  A granted unit may be used after `wait`; a refused request may be retried
+  after `retry_after`.  Both are in seconds.
   """
 
   is_granted: bool
@@ -41,12 +43,12 @@
 
 
 def get_capacity(burst: float) -> float:
-  """Returns what a bucket holds: without any burst still one request."""
+  """Returns the capacity of a bucket, which is at least one request."""
   return max(1.0, burst)
 
 
 def accrue(bucket: Bucket, *, rate: float, burst: float, now: float) -> None:
-  """Adds to a bucket what came at `rate` a second until now."""
+  """Adds the units that have accrued at `rate` per second until `now`."""
   bucket.level = admission.fill(
     bucket.level,
     seconds=max(0.0, now - bucket.at),
@@ -57,7 +59,10 @@
 
 
 def take(bucket: Bucket, *, rate: float, burst: float, now: float) -> Outcome:
-  """Returns whether one unit is granted, which then is taken."""
+  """Takes one unit if it is available within the maximum wait.
+
+  Returns whether the unit was granted, and when to use it or to retry.
+  """
   accrue(bucket, rate=rate, burst=burst, now=now)
   wait = max(0.0, 1.0 - bucket.level) / rate
   if wait > MOST_WAIT_SECONDS:
--- a/src/woadrun/decisions/retry_after.py
+++ b/src/woadrun/decisions/retry_after.py
@@ -1,34 +1,35 @@
-"""When a refused caller may come back."""
+"""Estimates of when a refused caller should retry."""
 
 from __future__ import annotations
 
-# The shortest time that makes sense: a refused caller that returns at once
-# meets the same state, in seconds.
-LEAST_SECONDS = 0.1
-MOST_SECONDS = 2.0
-# The shortest time after which an outage is worth another try, in seconds.
-# Outages and cuts last seconds, and a caller has few tries: sent back sooner it
-# had spent them before the end.
+# Lower bound of the delay: a caller that retries immediately would be refused
+# for the same reason.
+MIN_SECONDS = 0.1
+MAX_SECONDS = 2.0
+# Lower bound of the delay during an outage.  Outages and network partitions
+# last seconds and a caller has few attempts: with a shorter delay it would use
+# up its attempts before the outage ends.
 LEAST_OUTAGE_SECONDS = 1.5
 
 
 def estimate(*, running: int, slots: int, seconds: float) -> float:
-  """Returns the seconds until a slot should be free.
+  """Returns the estimated seconds until a slot is free.
 
-  `running` counts requests at all instances of a service, `slots` what they
-  run at a time, `seconds` how long a request takes there.
+  `running` counts the requests at all instances of a service, `slots` the
+  requests that these instances run concurrently, and `seconds` is the mean
+  duration of a request there.
   """
   if slots <= 0:
-    return MOST_SECONDS
+    return MAX_SECONDS
   ahead = max(0, running - slots) + 1
-  return min(MOST_SECONDS, max(LEAST_SECONDS, ahead / slots * seconds))
+  return min(MAX_SECONDS, max(MIN_SECONDS, ahead / slots * seconds))
 
 
-def estimate_outage(lasted: float) -> float:
-  """Returns the seconds until an outage should be over.
+def estimate_outage(elapsed: float) -> float:
+  """Returns the estimated seconds until an outage ends.
 
-  Nothing tells how long an outage lasts but how long it has lasted, in
-  seconds: it is taken to last as long again.  A caller that comes back
-  sooner spends its few tries while nobody can serve it.
+  The only known predictor of the remaining duration is the elapsed duration,
+  so the outage is assumed to last as long again.  A caller that retries sooner
+  uses up its few attempts while no daemon can serve it.
   """
-  return min(MOST_SECONDS, max(LEAST_OUTAGE_SECONDS, lasted))
+  return min(MAX_SECONDS, max(LEAST_OUTAGE_SECONDS, elapsed))
--- a/src/woadrun/decisions/routing.py
+++ b/src/woadrun/decisions/routing.py
@@ -1,7 +1,7 @@
-"""Which upstream a call goes to.
+"""Choice of an upstream for a call.
 
-A call goes to the engine that holds its program's prefix, unless the
-wait expected there exceeds what it costs to compute the prefix again.
+A call is sent to the engine that has its program's prefix cached, unless the
+expected wait there exceeds the cost of recomputing the prefix elsewhere.
 """
 
 from __future__ import annotations
@@ -10,24 +10,26 @@
 import dataclasses
 import math
 
-# What a call costs more in another failure domain, in seconds: the way
-# there, and that its cache is out of reach in a cut.
-DISTANCE_SECONDS = 0.05
-# Upstreams compared for one call, besides the holder of its prefix.
-MOST_LOOKED_AT = 16
+# Extra cost of a call in another failure domain: the network latency, and the
+# risk that the cache there is unreachable during a network partition.
+REMOTE_DOMAIN_COST_SECONDS = 0.05
+# At most this many upstreams are compared for one call, besides the holder of
+# its prefix.
+MAX_COMPARED = 16
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Candidate:
-  """An upstream as the decision sees it.
-
-  `running` and `waiting` count calls, own permits since the last report
-  included.  `seconds` is the time that calls take there now, learned from
-  outcomes: it grows where an upstream is slow.  `cached` is the part of
-  the call's prompt that the upstream's cache holds, in tokens.  `added` is
-  the time that each running call adds to another, where an upstream works
-  on all of them together.  `risk` is what is expected to be lost by failures
-  there, in seconds.
+  """The state of one upstream that the choice depends on.
+
+  `running` and `waiting` count calls, including permits that this daemon
+  acquired since the last report.  `seconds` is the current duration of calls
+  there, learned from outcomes, so it grows if the upstream is slow.  `cached`
+  is the number of tokens of the call's prompt in the upstream's cache.
+  `is_near` tells whether the upstream is in the caller's failure domain.
+  `added` is the time in seconds that each running call adds to another one, for
+  an upstream that processes its calls in one batch.  `risk` is the expected
+  time lost by failures of the upstream, in seconds.
   """
 
   name: str
@@ -42,7 +44,7 @@
 
 
 def estimate_wait(candidate: Candidate) -> float:
-  """Returns the seconds until a call would start there."""
+  """Returns the estimated queueing delay of a call, in seconds."""
   if candidate.slots <= 0:
     return math.inf
   ahead = candidate.running + candidate.waiting + 1 - candidate.slots
@@ -54,25 +56,29 @@
 def estimate_seconds(
   candidate: Candidate, *, prompt: int, prefill_rate: float
 ) -> float:
-  """Returns the seconds that a call there costs, its own and others'.
+  """Returns the estimated cost of a call, including delay to other calls.
 
-  `prompt` is in tokens, `prefill_rate` in tokens a second.  What of it is
-  not cached is read between the tokens of all calls that run there, and
-  holds each of them up as long as the call itself.
+  The result is in seconds.  `prompt` is in tokens, `prefill_rate` in tokens per
+  second.  An engine that batches its calls interleaves the prefill of uncached
+  tokens with their decoding, so the prefill delays each running call as much as
+  the call itself.
   """
   recompute = max(0, prompt - candidate.cached) / prefill_rate
   if candidate.added:
     recompute *= 1 + candidate.running
-  distance = 0.0 if candidate.is_near else DISTANCE_SECONDS
+  remote_cost = 0.0 if candidate.is_near else REMOTE_DOMAIN_COST_SECONDS
   shared = candidate.running * candidate.added
   service = recompute + candidate.seconds + shared
-  return estimate_wait(candidate) + service + distance + candidate.risk
+  return estimate_wait(candidate) + service + remote_cost + candidate.risk
 
 
 def choose(
   candidates: Sequence[Candidate], *, prompt: int, prefill_rate: float
 ) -> Candidate | None:
-  """Returns the upstream with the shortest expected time, or None."""
+  """Returns the upstream with the lowest estimated cost.
+
+  Returns None if no candidate has a slot.
+  """
   usable = [c for c in candidates if c.slots > 0]
   if not usable:
     return None
@@ -86,16 +92,17 @@
   )
 
 
-def pick(names: Sequence[str], holder: str, turn: int) -> list[str]:
-  """Returns which of many upstreams to look at for one call.
+def pick(names: Sequence[str], holder: str, rotation: int) -> list[str]:
+  """Returns the names of the upstreams to compare for one call.
 
-  The holder of the call's prefix is always among them.  The others are a
-  part that moves on with `turn`, so that calls spread and a choice costs
-  the same among hundreds as among a few.
+  The result includes `holder`, which has the call's prefix cached, if it is in
+  `names`.  The others are a window of `names` that advances with `rotation`,
+  which spreads calls and makes the cost of a choice independent of the number
+  of upstreams.
   """
-  if len(names) <= MOST_LOOKED_AT:
+  if len(names) <= MAX_COMPARED:
     return list(names)
-  first = turn * MOST_LOOKED_AT % len(names)
+  first = rotation * MAX_COMPARED % len(names)
   doubled = (*names, *names)
-  found = list(doubled[first : first + MOST_LOOKED_AT])
+  found = list(doubled[first : first + MAX_COMPARED])
   return found if holder in found or holder not in names else [holder, *found]
--- a/src/woadrun/decisions/shares.py
+++ b/src/woadrun/decisions/shares.py
@@ -1,19 +1,19 @@
-"""Which part of a budget each side may spend while they are cut off.
+"""Division of a program's budget between partitioned failure domains.
 
-Failure domains that cannot reach each other may all go on with one program.
-Each then spends a part of what was left when it noticed; the parts together
-are never more than the whole.
+Failure domains that cannot reach each other may all continue one program.  Each
+domain may then spend a share of the budget that was left when it detected the
+partition.  The shares never add up to more than the base_share.
 """
 
 from __future__ import annotations
 
-# The home domain's part while it has no store: another domain may reach the
-# store meanwhile, and the other half is for that one.
+# Share of the home domain while it cannot reach the store.  The other half is
+# reserved for a domain that can reach the store meanwhile.
 HOME_SHARE = 0.5
 
 
 def get_lone_share(domains: int) -> float:
-  """Returns the part of a domain without the store and away from home.
+  """Returns the share of a domain that is not the home and has no store.
 
   `domains` counts all domains that may serve the program.
   """
@@ -23,16 +23,19 @@
 def get_share(
   *, is_home: bool, has_store: bool, domains: int, unsettled: int
 ) -> float:
-  """Returns the part of what is left that one domain may spend.
+  """Returns the share of the remaining budget that one domain may spend.
 
-  `unsettled` counts the other domains, the home left out, that may be
-  spending where this one does not see it.
+  `is_home` tells whether the domain is the program's home, `has_store` whether
+  it can reach the store.  `domains` counts all domains that may serve the
+  program.  `unsettled` counts the other domains, except the home, that may be
+  spending without the knowledge of this one.
   """
-  alone = get_lone_share(domains)
+  lone_share = get_lone_share(domains)
   if has_store:
-    whole = 1.0 if is_home else 1 - HOME_SHARE
-    return max(0.0, whole - unsettled * alone)
+    base_share = 1.0 if is_home else 1 - HOME_SHARE
+    return max(0.0, base_share - unsettled * lone_share)
   if not is_home:
-    return alone
-  # That all are in sight is known only up to a moment ago.
+    return lone_share
+  # Even if all other domains were reachable a moment ago, one may have been
+  # cut off since.
   return HOME_SHARE if domains > 1 else 1.0
