--- a/src/woadrun/decisions/admission.py
+++ b/src/woadrun/decisions/admission.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Bucket:
-  """A token bucket with one level for an exact rate.
+  """A token bucket.
 
   `rate` is in units per second, `burst` and `level` in units.  `filled_at` is
   the time of the last refill, in seconds.
--- a/src/woadrun/decisions/shares.py
+++ b/src/woadrun/decisions/shares.py
@@ -2,7 +2,7 @@
 
 Failure domains that cannot reach each other may all continue one program.  Each
 domain may then spend a share of the budget that was left when it detected the
-partition.  The shares never add up to more than the base_share.
+partition.  The shares never add up to more than the whole.
 """
 
 from __future__ import annotations
@@ -36,6 +36,6 @@
     return max(0.0, base_share - unsettled * lone_share)
   if not is_home:
     return lone_share
-  # Even if all other domains were reachable a moment ago, one may have been
-  # cut off since.
+  # A domain may have been cut off since it was last heard from, so the share
+  # does not depend on `unsettled`.
   return HOME_SHARE if domains > 1 else 1.0
--- a/src/woadrun/version/__init__.py
+++ b/src/woadrun/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a version of the roster or of the table."""
+"""Versioned state: rosters, tables, programs, budgets and instances."""
--- a/src/woadrun/version/instances.py
+++ b/src/woadrun/version/instances.py
@@ -1,8 +1,8 @@
-"""The live instances of upstreams, as the platform's list tells them.
+"""The running instances of upstreams, as listed by the platform.
 
-An instance is one start of an upstream.  An upstream that starts again may
-have the id that it had, and its address may be given to another one: `born`
-tells one life from the next.
+An instance is one incarnation of an upstream.  An upstream may keep its id
+across a restart, and its address may be reassigned to another upstream, so
+`born` distinguishes the incarnations.
 """
 
 from __future__ import annotations
@@ -11,17 +11,18 @@
 from collections.abc import Sequence
 import dataclasses
 
-# Ids whose newest life is remembered after their entry went, the most.
-MOST_REMEMBERED = 10_000
+# Newest start times are kept for at most this many ids, including ids whose
+# entry was removed.
+MAX_REMEMBERED_IDS = 10_000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Instance:
-  """One start of an upstream.
+  """One incarnation of an upstream.
 
-  `slots` is how many requests it runs at a time.  A draining instance
-  finishes what it has and takes nothing new.  `born` is the Unix millisecond
-  of its start, 0 where it does not say.
+  `slots` is the number of requests that it runs concurrently.  A draining
+  instance completes its requests and accepts no new ones.  `born` is its start
+  time in Unix milliseconds, or 0 if its entry has none.
   """
 
   id: str
@@ -34,12 +35,15 @@
 
   @property
   def life(self) -> str:
-    """The id with its start: what is learned of an instance goes by this."""
+    """The id with the start time, which identifies the incarnation.
+
+    Measurements of an instance are stored under this key.
+    """
     return f'{self.id}.{self.born}' if self.born else self.id
 
 
 class Group:
-  """Instances among which one is chosen, as a list and by what names them."""
+  """The candidates for a request, indexed by incarnation and by domain."""
 
   def __init__(self, found: Sequence[Instance] = ()) -> None:
     self.all = tuple(found)
@@ -57,11 +61,11 @@
 
 
 class Directory:
-  """All instances known, by id and by service.
+  """All known instances, by id and by service.
 
-  While the list is out, entries lapse that live on.  An entry missing from
-  a list read anew is therefore kept until a later look, `grace` seconds
-  after, still lacks it.
+  While the platform's list is unavailable, entries of running instances may
+  expire from it.  An entry that is missing from a new list is therefore kept
+  until it has been missing for `grace` seconds.
   """
 
   def __init__(self, *, grace: float) -> None:
@@ -73,10 +77,10 @@
     self._group_by_service: dict[str, Group] = {}
 
   def put(self, instance: Instance) -> None:
-    """Takes a new or changed entry in, unless a later life is known."""
+    """Stores an entry, unless a newer incarnation of its id is known."""
     if instance.born < self._newest_born_by_id.get(instance.id, 0):
       return
-    self._remember(instance)
+    self._record_start(instance)
     known = self.by_id.get(instance.id)
     if known is not None and known.service != instance.service:
       self.remove(instance.id)
@@ -85,21 +89,21 @@
     self._group_by_service.pop(instance.service, None)
     self._ids_by_service.setdefault(instance.service, {})[instance.id] = None
 
-  def _remember(self, instance: Instance) -> None:
+  def _record_start(self, instance: Instance) -> None:
     if not instance.born:
       return
-    # The newest last, so that the oldest are dropped.
+    # Reinserted at the end, so that the least recently updated id is evicted.
     self._newest_born_by_id.pop(instance.id, None)
     self._newest_born_by_id[instance.id] = instance.born
-    if len(self._newest_born_by_id) > MOST_REMEMBERED:
+    if len(self._newest_born_by_id) > MAX_REMEMBERED_IDS:
       del self._newest_born_by_id[next(iter(self._newest_born_by_id))]
 
   def get_lives(self) -> set[str]:
-    """Returns the lives of all instances known."""
+    """Returns the `life` of each known instance."""
     return {instance.life for instance in self.by_id.values()}
 
   def remove(self, id: str) -> Instance | None:
-    """Returns the entry taken out, if there was one."""
+    """Removes and returns an entry, or returns None if there is none."""
     self._missing_since.pop(id, None)
     instance = self.by_id.pop(id, None)
     if instance is not None:
@@ -108,7 +112,7 @@
     return instance
 
   def replace(self, instances: Iterable[Instance], *, now: float) -> None:
-    """Takes a whole list in; what it lacks is missing from `now` on."""
+    """Stores a complete list; entries not in it are missing from `now` on."""
     listed = {instance.id: instance for instance in instances}
     for id in self.by_id:
       if id not in listed:
@@ -117,7 +121,7 @@
       self.put(instance)
 
   def drop_missing(self, *, now: float) -> list[Instance]:
-    """Returns the entries that are gone because they stayed missing."""
+    """Removes and returns entries that were missing for the grace period."""
     gone = [
       id
       for id, since in self._missing_since.items()
@@ -126,13 +130,13 @@
     return [found for id in gone if (found := self.remove(id)) is not None]
 
   def get_missing(self) -> list[str]:
-    """Returns the ids that the last whole list lacked."""
+    """Returns the ids that are missing from the last complete list."""
     return list(self._missing_since)
 
   def find(self, service: str) -> Group:
-    """Returns the instances of a service that take requests.
+    """Returns the instances of a service that accept requests.
 
-    They are put together once for each change, not for each request.
+    The group is cached until an entry of the service changes.
     """
     known = self._group_by_service.get(service)
     if known is None:
--- a/src/woadrun/version/prefixes.py
+++ b/src/woadrun/version/prefixes.py
@@ -1,4 +1,4 @@
-"""Which instances hold which parts of a program's prompts."""
+"""Estimates of which instances have a program's prompts in their cache."""
 
 from __future__ import annotations
 
@@ -7,62 +7,67 @@
 
 from woadrun.connection import turn_messages
 
-# What an engine read is taken to be there for so long after its last use, in
-# seconds: engines drop what rested longest, and pauses of programs are
-# shorter.
-HELD_SECONDS = 20.0
+# A prompt is assumed to be in an engine's cache for this long after its last
+# use: engines evict the least recently used prefixes, and the pauses of
+# programs are shorter.
+CACHE_TTL_SECONDS = 20.0
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Held:
-  """What one instance read of a program, and when it was used last."""
+class _CachedParts:
+  """The parts that one instance has cached, and when it last read a prompt."""
 
   tokens_by_part: dict[str, int] = dataclasses.field(default_factory=dict)
-  at: float = 0.0
+  used_at: float = 0.0
 
 
 class Prefixes:
-  """The parts of one program's prompts, by instance.
+  """The cached parts of one program's prompts, by instance.
 
   Times are on the monotonic clock.
   """
 
   def __init__(self) -> None:
-    self._held_by_instance: dict[str, _Held] = {}
+    self._cached_by_instance: dict[str, _CachedParts] = {}
 
   def note(
     self, instance: str, parts: Iterable[turn_messages.Part], *, now: float
   ) -> None:
-    """Takes note that an instance has read a prompt."""
-    held = self._held_by_instance.setdefault(instance, _Held())
-    held.at = now
+    """Records that an instance has processed a prompt."""
+    cached = self._cached_by_instance.setdefault(instance, _CachedParts())
+    cached.used_at = now
     for part in parts:
-      known = held.tokens_by_part.get(part.id, 0)
-      held.tokens_by_part[part.id] = max(known, part.tokens)
+      known = cached.tokens_by_part.get(part.id, 0)
+      cached.tokens_by_part[part.id] = max(known, part.tokens)
 
   def find(
     self, parts: Iterable[turn_messages.Part], *, now: float
   ) -> dict[str, int]:
-    """Returns how much of a prompt instances hold, in tokens by instance."""
+    """Returns the cached tokens of a prompt by instance.
+
+    Removes the instances whose cache has expired.
+    """
     wanted = list(parts)
-    self._held_by_instance = {
-      instance: held
-      for instance, held in self._held_by_instance.items()
-      if now - held.at < HELD_SECONDS
+    self._cached_by_instance = {
+      instance: cached
+      for instance, cached in self._cached_by_instance.items()
+      if now - cached.used_at < CACHE_TTL_SECONDS
     }
     return {
-      instance: _count(held, wanted)
-      for instance, held in self._held_by_instance.items()
+      instance: _count_cached_tokens(cached, wanted)
+      for instance, cached in self._cached_by_instance.items()
     }
 
 
-def _count(held: _Held, parts: list[turn_messages.Part]) -> int:
-  """Returns the tokens of the leading parts that are held."""
+def _count_cached_tokens(
+  cached: _CachedParts, parts: list[turn_messages.Part]
+) -> int:
+  """Returns the number of cached tokens at the start of a prompt."""
   total = 0
   for part in parts:
-    known = held.tokens_by_part.get(part.id, 0)
+    known = cached.tokens_by_part.get(part.id, 0)
     total += min(known, part.tokens)
     if known < part.tokens:
-      # What comes after is of use only behind the whole of this part.
+      # Later parts are usable only if this part is cached completely.
       break
   return total
--- a/src/woadrun/version/program.py
+++ b/src/woadrun/version/program.py
@@ -1,7 +1,7 @@
-"""Programs of one slot, and the records that change them.
+"""The programs of one slot as a replicated state machine.
 
-All state of a slot follows from its records, applied in order: the owner
-and its standby apply the same records and hold the same state.
+The state of a slot is a function of its records, applied in order: the owner
+and its standby apply the same records and reach the same state.
 """
 
 from __future__ import annotations
@@ -28,7 +28,10 @@
 
 
 class Started(msgspec.Struct, frozen=True, kw_only=True, tag='started'):
-  """A program began; a sub-agent's budget is carved from its parent's."""
+  """A program has started.
+
+  The budget of a sub-agent is subtracted from that of its `parent`.
+  """
 
   program: str
   team: str
@@ -41,9 +44,10 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, kw_only=True, tag='accepted'):
-  """An attempt of a call will be sent; for an action, its committed intent.
+  """An attempt of a call is about to be sent.
 
-  `stream` is drawn anew for each attempt of a request.
+  For an action, this record is its committed intent.  `stream` is a new random
+  id for each attempt of a request.
   """
 
   program: str
@@ -63,15 +67,15 @@
 
   @property
   def attempt(self) -> str:
-    """Returns what tells this attempt from others of the same request."""
+    """The id that distinguishes this attempt from others of its request."""
     return self.stream
 
 
 class Finished(msgspec.Struct, frozen=True, kw_only=True, tag='finished'):
-  """An attempt has its outcome; `not run` makes room for the next one.
+  """An attempt has an outcome; after `not run` another attempt may follow.
 
-  `attempt` is that of its `Accepted`.  Records of earlier versions have none
-  and end whichever attempt is running.
+  `attempt` is the id from the attempt's `Accepted` record.  Records of earlier
+  releases have no id and end any running attempt.
   """
 
   program: str
@@ -87,7 +91,7 @@
 
 
 class Ended(msgspec.Struct, frozen=True, kw_only=True, tag='ended'):
-  """A program is over: ended, cancelled, abandoned or past its deadline."""
+  """A program is finished, cancelled, abandoned or past its deadline."""
 
   program: str
   reason: str
@@ -95,7 +99,7 @@
 
 
 class Forgotten(msgspec.Struct, frozen=True, kw_only=True, tag='forgotten'):
-  """A program that is over is no longer kept."""
+  """The state of an ended program is deleted."""
 
   program: str
 
@@ -106,7 +110,7 @@
 
 
 class Request(msgspec.Struct, kw_only=True):
-  """One call of a program: its last attempt and, once known, its outcome."""
+  """One call of a program, with its last attempt and its outcome if known."""
 
   accepted: Accepted
   outcome: str = ''
@@ -115,16 +119,20 @@
 
   @property
   def is_running(self) -> bool:
-    """Returns whether the call has no outcome yet."""
+    """Whether the call has no outcome yet."""
     return not self.outcome
 
   def is_ended_by(self, record: Finished) -> bool:
-    """Returns whether a record is the outcome of the attempt under way."""
+    """Returns whether a record is the outcome of the running attempt."""
     return self.is_running and record.attempt in ('', self.accepted.attempt)
 
 
 class Program(msgspec.Struct, kw_only=True):
-  """The state of a program that its records add up to."""
+  """The state of a program.
+
+  `spent` counts used tokens, `carved` tokens that are assigned to sub-agents
+  that have not ended.
+  """
 
   started: Started
   spent: int = 0
@@ -140,20 +148,20 @@
 
   @property
   def reserved(self) -> int:
-    """Returns the tokens that running calls may still use."""
+    """The tokens reserved by running calls."""
     requests = self.request_by_id.values()
     return sum(r.accepted.reserve for r in requests if r.is_running)
 
   @property
   def available(self) -> int:
-    """Returns the tokens that a new call or sub-agent may reserve."""
+    """The tokens that a new call or sub-agent may reserve."""
     return self.started.budget - self.spent - self.reserved - self.carved
 
   def has_outcome(self, record: Finished) -> bool:
     """Returns whether a recorded outcome took effect.
 
-    `not run` removes its attempt; of other outcomes the answer is dropped
-    after a while.
+    `not run` removes its attempt, so it took effect if the attempt is absent.
+    For other outcomes the stored answer may have been evicted since.
     """
     request = self.request_by_id.get(record.request)
     names = ('', request.accepted.attempt) if request else ()
@@ -168,13 +176,13 @@
 
 
 class SlotState(msgspec.Struct, kw_only=True):
-  """All programs of a slot, and how many batches of records made them."""
+  """All programs of a slot, and the number of record batches applied."""
 
   sequence: int = 0
   program_by_id: dict[str, Program] = {}
 
   def get_program(self, program: str) -> Program:
-    """Returns a program, or raises `unknown_program`."""
+    """Returns a program; raises `unknown_program` if there is none."""
     found = self.program_by_id.get(program)
     if found is None:
       raise errors.WoadrunError(
@@ -185,10 +193,13 @@
     return found
 
   def apply(self, records: Iterable[Record], *, answers: int) -> None:
-    """Applies one batch; `answers` bounds the answers that are kept."""
+    """Applies a batch of records.
+
+    Each program keeps the newest `answers` answers.
+    """
     self.sequence += 1
     for record in records:
-      _APPLY_BY_TYPE[type(record)](self, record, answers)
+      _HANDLER_BY_TYPE[type(record)](self, record, answers)
 
 
 def _start(state: SlotState, record: Started, answers: int) -> None:
@@ -216,15 +227,16 @@
   program = state.program_by_id.get(record.program)
   request = program.request_by_id.get(record.request) if program else None
   if program is None or request is None or not request.is_ended_by(record):
-    # Outcomes are recorded until committed, so one may come again after the
-    # next attempt has begun.
+    # An outcome is recorded repeatedly until it is committed, so a duplicate
+    # may arrive after the next attempt has started.
     return
   program.last_active = record.time
   program.spent += record.used
   if record.outcome == NOT_RUN:
-    _take_back(program, request)
+    _remove_attempt(program, request)
     return
-  # The messages are in the history now; a finished call needs no body.
+  # The messages are part of the history from here on, and a finished call is
+  # not sent again, so its body is not needed.
   request.accepted = msgspec.structs.replace(
     request.accepted, body='', messages=[]
   )
@@ -234,16 +246,16 @@
   program.history.extend(record.messages)
   program.history_bytes += sum(len(str(m)) for m in record.messages)
   program.history_tokens = record.history_tokens or program.history_tokens
-  _drop_old_answers(program, answers)
+  _evict_old_answers(program, answers)
 
 
-def _take_back(program: Program, request: Request) -> None:
+def _remove_attempt(program: Program, request: Request) -> None:
   del program.request_by_id[request.accepted.request]
   if program.calls == request.accepted.ordinal:
     program.calls -= 1
 
 
-def _drop_old_answers(program: Program, answers: int) -> None:
+def _evict_old_answers(program: Program, answers: int) -> None:
   kept = [r for r in program.request_by_id.values() if r.answer is not None]
   for request in kept[: max(0, len(kept) - answers)]:
     request.answer = None
@@ -261,14 +273,14 @@
     parent.spent += program.spent
 
 
-def _forget(state: SlotState, record: Forgotten, answers: int) -> None:
+def _delete(state: SlotState, record: Forgotten, answers: int) -> None:
   state.program_by_id.pop(record.program, None)
 
 
-_APPLY_BY_TYPE: dict[type, Any] = {
+_HANDLER_BY_TYPE: dict[type, Any] = {
   Started: _start,
   Accepted: _accept,
   Finished: _finish,
   Ended: _end,
-  Forgotten: _forget,
+  Forgotten: _delete,
 }
--- a/src/woadrun/version/roster.py
+++ b/src/woadrun/version/roster.py
@@ -1,11 +1,11 @@
-"""The roster of a failure domain: its daemons and who owns each slot.
+"""The roster of a failure domain: its daemons and the owner of each slot.
 
 The roster is one row of the table service and is changed only by
-compare-and-swap.  This module is the pure part: each function returns a
-new roster, or None where nothing has to change.
+compare-and-swap.  The functions of this module have no side effects: each
+returns a new roster, or None if nothing has to change.
 
 A slot's epoch is the roster version at which its owner or standby last
-changed.  It is the fencing number of all that the slot does.
+changed.  The epoch is the fencing token of all actions of the slot.
 """
 
 from __future__ import annotations
@@ -21,11 +21,10 @@
 
 
 class Slot(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """The pair of daemons that holds a slot, and since which version.
+  """The owner and standby of a slot, and the epoch of their assignment.
 
-  `before` is the epoch that this one followed, `owner_before` the last
-  epoch of another owner: a daemon uses a copy of the slot only if it is
-  of that epoch.
+  `before` is the previous epoch, `owner_before` the last epoch of another
+  owner: a daemon uses a copy of the slot only if the copy is of that epoch.
   """
 
   owner: str = ''
@@ -42,10 +41,11 @@
   array_like=True,
   omit_defaults=True,
 ):
-  """Who wrote a batch of a slot, in the order in which owners follow.
+  """The writer of a batch of a slot; later owners compare greater.
 
-  While the table is out, a daemon that serves a slot on its own raises
-  `claim` within the epoch and puts its address into `claimer`.
+  While the table is unavailable, a daemon that serves a slot without a change
+  of the roster increments `claim` within the epoch and sets `claimer` to its
+  address.
   """
 
   epoch: int = 0
@@ -54,11 +54,11 @@
 
 
 class Roster(msgspec.Struct, frozen=True, kw_only=True):
-  """The daemons of a failure domain, by address, and its slots.
+  """The daemons and the slots of a failure domain.
 
-  `incarnations` maps an address to the number of the process that serves
-  there; `write_id` names the write that produced this version, so that a
-  lost answer can be told from a lost write.
+  `incarnations` maps the address of each daemon to the incarnation of its
+  process.  `write_id` identifies the write that produced this version, so that
+  a writer can distinguish a lost response from a lost write.
   """
 
   domain: str
@@ -72,7 +72,7 @@
 
 
 def make_empty(domain: str, *, slots: int) -> Roster:
-  """Returns the roster of a domain that nobody has joined."""
+  """Returns the roster of a domain without daemons."""
   return Roster(domain=domain, slots=(Slot(),) * slots)
 
 
@@ -80,7 +80,7 @@
 
 
 def get_members(roster: Roster) -> list[str]:
-  """Returns the addresses of all members in a fixed order."""
+  """Returns the addresses of all members in sorted order."""
   return sorted(roster.incarnations)
 
 
@@ -90,7 +90,7 @@
 
 
 def get_partners(roster: Roster, address: str) -> set[str]:
-  """Returns the daemons that share a slot with `address`."""
+  """Returns the other daemons that share a slot with `address`."""
   partners: set[str] = set()
   for slot in roster.slots:
     pair = {slot.owner, slot.standby}
@@ -109,7 +109,7 @@
 
 
 def get_digest(text: str) -> bytes:
-  """Returns eight bytes that depend on the text alone."""
+  """Returns an 8-byte hash of a text, the same in every process."""
   return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
@@ -119,10 +119,10 @@
 def with_member(
   roster: Roster, address: str, incarnation: str
 ) -> Roster | None:
-  """Returns the roster after a daemon joined; it holds nothing yet.
+  """Returns the roster with a daemon added, which holds no slots yet.
 
-  Slots that an earlier process at the same address held lose it, since
-  the new process knows none of their state.
+  An earlier process at the same address is removed from its slots, since the
+  new process has none of their state.
   """
   if roster.incarnations.get(address) == incarnation:
     return None
@@ -134,43 +134,50 @@
 
 
 def without_member(roster: Roster, address: str) -> Roster | None:
-  """Returns the roster without a daemon; its standbys take its slots."""
+  """Returns the roster without a daemon; its slots pass to their standbys."""
   if address not in roster.incarnations:
     return None
   incarnations = dict(roster.incarnations)
   del incarnations[address]
-  slots = tuple(_without(roster, slot, address) for slot in roster.slots)
+  slots = tuple(
+    _remove_from_slot(roster, slot, address) for slot in roster.slots
+  )
   return msgspec.structs.replace(roster, incarnations=incarnations, slots=slots)
 
 
-def _without(roster: Roster, slot: Slot, address: str) -> Slot:
+def _remove_from_slot(roster: Roster, slot: Slot, address: str) -> Slot:
   if slot.owner == address:
-    return _follow(roster, slot, owner=slot.standby, standby='')
+    return _make_next_slot(roster, slot, owner=slot.standby, standby='')
   if slot.standby == address:
-    return _follow(roster, slot, owner=slot.owner, standby='')
+    return _make_next_slot(roster, slot, owner=slot.owner, standby='')
   return slot
 
 
-def _follow(roster: Roster, slot: Slot, *, owner: str, standby: str) -> Slot:
-  is_same = owner == slot.owner
+def _make_next_slot(
+  roster: Roster, slot: Slot, *, owner: str, standby: str
+) -> Slot:
+  is_same_owner = owner == slot.owner
   return Slot(
     owner=owner,
     standby=standby,
     epoch=roster.version + 1,
     before=slot.epoch,
-    owner_before=slot.owner_before if is_same else slot.epoch,
+    owner_before=slot.owner_before if is_same_owner else slot.epoch,
   )
 
 
 def with_pair(
   roster: Roster, number: int, *, epoch: int, owner: str, standby: str
 ) -> Roster | None:
-  """Returns the roster with a new pair, if the slot is still at `epoch`."""
+  """Returns the roster with a new owner and standby for one slot.
+
+  Returns None if the slot is no longer at `epoch` or already has this pair.
+  """
   old = roster.slots[number]
   is_unchanged = (old.owner, old.standby) == (owner, standby)
   if old.epoch != epoch or is_unchanged:
     return None
-  new = _follow(roster, old, owner=owner, standby=standby)
+  new = _make_next_slot(roster, old, owner=owner, standby=standby)
   slots = (*roster.slots[:number], new, *roster.slots[number + 1 :])
   return msgspec.structs.replace(roster, slots=slots)
 
@@ -178,10 +185,10 @@
 def with_pairs(
   roster: Roster, pairs: dict[int, tuple[int, str, str]]
 ) -> Roster | None:
-  """Returns the roster with several pairs changed at once.
+  """Returns the roster with new owners and standbys for several slots.
 
-  `pairs` maps a slot number to the epoch it must still have, the owner
-  and the standby; slots that moved on meanwhile are left as they are.
+  `pairs` maps a slot number to its expected epoch, the new owner and the new
+  standby.  Slots that are at another epoch stay unchanged.
   """
   changed = roster
   for number, (epoch, owner, standby) in pairs.items():
@@ -196,7 +203,10 @@
 
 
 def find_orphans(roster: Roster, silent: Collection[str]) -> Iterator[int]:
-  """Yields the slots that no live daemon holds."""
+  """Yields the slots that have neither a live owner nor a live standby.
+
+  `silent` holds the daemons that are considered dead.
+  """
   for number, slot in enumerate(roster.slots):
     holders = {slot.owner, slot.standby} - {''}
     if not holders - set(silent):
@@ -206,10 +216,11 @@
 def choose_standby(
   roster: Roster, number: int, *, owner: str, unfit: Collection[str]
 ) -> str:
-  """Returns the daemon that should stand by for a slot, or ''.
+  """Returns the daemon that should become the standby of a slot.
 
-  Rendezvous hashing on the owner gives each owner few partners, which
-  bounds the heartbeats and the replication streams of a daemon.
+  Returns '' if there is no candidate besides the owner and `unfit` daemons.
+  Rendezvous hashing on the owner gives each owner few partners, which bounds
+  the number of heartbeats and replication streams of a daemon.
   """
   live = set(roster.incarnations) - set(unfit) - {owner}
   ranked = rank(f'{roster.domain}/{owner}/{number % 2}', live)
@@ -219,19 +230,20 @@
 def plan_give_away(
   roster: Roster, address: str, *, unfit: Collection[str]
 ) -> tuple[list[int], str]:
-  """Returns the slots that `address` should give, and to whom.
+  """Returns the slots that `address` should hand over, and the receiver.
 
-  The list is empty unless the receiver owns at least two fewer.  Slots
-  that it already stands by for come first: they need no copy.
+  The list is empty unless the receiver owns at least two slots fewer.  Slots
+  whose standby is the receiver come first, since they need no copy.
   """
   live = [m for m in get_members(roster) if m not in unfit]
   if address not in live:
     return [], ''
   counts = {m: len(get_owned(roster, m)) for m in live}
-  # The one with the most gives to the one with the fewest, the second to
-  # the second, and so on: all see the same roster and give in parallel.
-  givers = sorted(live, key=lambda m: (-counts[m], m))
-  target = givers[-1 - givers.index(address)]
+  # The daemon with the most slots hands over to the one with the fewest, the
+  # second to the second last, and so on.  All daemons compute the same pairs
+  # from the same roster, so the transfers run in parallel.
+  by_count = sorted(live, key=lambda m: (-counts[m], m))
+  target = by_count[-1 - by_count.index(address)]
   share = (counts[address] - counts[target]) // 2
   if share < 1:
     return [], ''
@@ -243,10 +255,11 @@
 def get_keeper(
   roster: Roster, name: str, *, silent: Collection[str] = ()
 ) -> str:
-  """Returns the member that keeps what goes by a name, or ''.
+  """Returns the member that coordinates the resource with a name.
 
-  An upstream's queue and a row's limits are kept so.  Members that are
-  silent are passed over, also while the roster cannot be changed.
+  Resources are for example an upstream's queue and a row's limits.  Members in
+  `silent` are skipped, even while the roster cannot be changed.  Returns '' if
+  no member is left.
   """
   ranked = rank(f'keeper/{name}', set(roster.incarnations) - set(silent))
   return ranked[0] if ranked else ''
--- a/src/woadrun/version/routes.py
+++ b/src/woadrun/version/routes.py
@@ -1,6 +1,6 @@
-"""The routing table in force: which service answers a request, and how.
+"""The routing table, which maps requests to services.
 
-A table is a whole version: it is replaced, never changed.
+A table is immutable: a new version replaces the whole table.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Kind(enum.Enum):
-  """Whether a request may run more than once, and how it is answered."""
+  """Whether a request may be executed repeatedly, and how it is answered."""
 
   IDEMPOTENT = 'idempotent'
   ONCE = 'once'
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Share:
-  """A service's part of a route's requests; weights are relative."""
+  """A service's share of a route's requests, by relative weight."""
 
   service: str
   weight: float
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-  """What the operator wants for the requests under one path.
+  """The operator's configuration of the requests under one path prefix.
 
-  `timeout`, `target` and `retention` are in seconds.  `priority` is 0 for
-  the most urgent.  `keeps_history` says that a call is a turn of a program,
-  whose input and answer are kept for `retention`.  Requests on a route that
-  `is_public` need no key.
+  `timeout`, `target` (a latency) and `retention` are in seconds.  `priority` is
+  0 for the most urgent.  `keeps_history` says that a call is a turn of a
+  program, whose input and answer are stored for `retention`.  Requests on a
+  route that `is_public` need no key.
   """
 
   name: str
@@ -55,10 +55,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-  """What the operator says of a service.
+  """The operator's configuration of a service.
 
-  `tokens_per_event` is what one event of a stream holds at most;
-  `max_connections` is what one instance takes from all daemons together.
+  `tokens_per_event` is the maximum number of tokens in one event of a stream.
+  `max_connections` is the maximum number of connections from all daemons to one
+  instance.
   """
 
   name: str
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-  """Bounds of what a caller may send, in bytes and seconds."""
+  """Limits on the requests of callers, in bytes and seconds."""
 
   header_bytes: int = 16_384
   body_bytes: int = 4_194_304
@@ -79,8 +80,8 @@
 class RoutingTable:
   """One version of routes, services, limits and teams.
 
-  `team_by_digest` has the team of each key by the key's digest, and is None
-  where requests need no key.
+  `team_by_digest` maps the digest of each key to its team; it is None if
+  requests need no key.
   """
 
   def __init__(
@@ -101,18 +102,21 @@
       self._routes_by_host.setdefault(route.host, []).append(route)
 
   def match(self, host: str, path: str) -> Route | None:
-    """Returns the host's route with the longest prefix of `path`, if any."""
+    """Returns the host's route with the longest matching prefix, if any."""
     for route in self._routes_by_host.get(host, ()):
       if path.startswith(route.prefix):
         return route
     return None
 
 
-def choose_service(route: Route, draw: float) -> str:
-  """Returns a service of a route; `draw` is uniform between 0 and 1."""
-  rest = draw * sum(share.weight for share in route.shares)
+def choose_service(route: Route, random_value: float) -> str:
+  """Returns a service of a route, chosen by weight.
+
+  `random_value` is a uniformly distributed number in [0, 1).
+  """
+  remaining = random_value * sum(share.weight for share in route.shares)
   for share in route.shares:
-    rest -= share.weight
-    if rest < 0:
+    remaining -= share.weight
+    if remaining < 0:
       return share.service
   return route.shares[-1].service
--- a/src/woadrun/version/rows.py
+++ b/src/woadrun/version/rows.py
@@ -1,7 +1,7 @@
-"""The operators' table: its rows, its changes and its CSV form.
+"""The operators' table: its rows, edits and CSV format.
 
-A row is keyed by a team (`team`) or by a team and a kind of work
-(`team/kind`).  The row of a kind applies before the row of its team.
+The key of a row is a team (`team`) or a team and a kind of work (`team/kind`).
+The row of a kind takes precedence over the row of its team.
 """
 
 from __future__ import annotations
@@ -61,12 +61,12 @@
   )
 
   def is_model_allowed(self, model: str) -> bool:
-    """Returns whether the row lets its programs use `model`."""
+    """Returns whether the row allows its programs to use `model`."""
     return self.models == '*' or model in self.models.split()
 
 
 class RowChange(msgspec.Struct, frozen=True, kw_only=True):
-  """One row before and after an edit; None stands for no row."""
+  """One row before and after an edit; None represents an absent row."""
 
   key: str
   before: dict[str, Any] | None
@@ -74,7 +74,7 @@
 
 
 class Edit(msgspec.Struct, frozen=True, kw_only=True):
-  """One version of the table: what an operator changed, and when."""
+  """One version of the table: the changes of an operator, and their time."""
 
   version: int
   write_id: str
@@ -87,7 +87,7 @@
 
 
 def get_row(row_by_key: dict[str, Row], team: str, kind: str) -> Row | None:
-  """Returns the row that applies to a kind of a team's work."""
+  """Returns the row that applies to a kind of a team's work, if any."""
   return row_by_key.get(f'{team}{KEY_SEPARATOR}{kind}') or row_by_key.get(team)
 
 
@@ -108,7 +108,7 @@
 def find_changes(
   old: dict[str, Row], new: dict[str, Row]
 ) -> Iterator[RowChange]:
-  """Yields a change for each row that differs."""
+  """Yields a change for each row that differs between two tables."""
   for key in sorted(old.keys() | new.keys()):
     before, after = old.get(key), new.get(key)
     if before != after:
@@ -122,9 +122,9 @@
 def find_conflicts(
   row_by_key: dict[str, Row], changes: tuple[RowChange, ...]
 ) -> Iterator[RowChange]:
-  """Yields what another edit did to the rows that `changes` started from.
+  """Yields the rows in `changes` that another edit has changed meanwhile.
 
-  Each conflict tells the row as the editor read it and as it is now.
+  Each conflict has the row as the editor read it and as it is now.
   """
   for change in changes:
     row = row_by_key.get(change.key)
@@ -148,7 +148,10 @@
 
 
 def from_csv(text: str, *, file: str) -> dict[str, Row]:
-  """Returns the rows of a CSV table, or raises all findings together."""
+  """Returns the rows of a CSV table.
+
+  Raises `FindingsError` with all findings if any row is invalid.
+  """
   rows: dict[str, Row] = {}
   findings: list[errors.Finding] = []
   for line, data in enumerate(csv.DictReader(io.StringIO(text)), start=2):
@@ -163,7 +166,7 @@
         )
       continue
     if row.key in rows:
-      reason = f'the row {row.key} stands twice'
+      reason = f'the row {row.key} occurs more than once'
       findings.append(errors.Finding(file=file, key=place, reason=reason))
     rows[row.key] = row
   if findings:
--- a/src/woadrun/version/spending.py
+++ b/src/woadrun/version/spending.py
@@ -1,38 +1,41 @@
-"""What the turns of a program were given up to a moment ago, as others know."""
+"""History of a program's settled tokens, as known to other failure domains."""
 
 from __future__ import annotations
 
 import collections
 
-# What was spent so long ago is known in other domains, in seconds: copies of a
-# turn go out as it ends, and a domain that is cut off counts as silent sooner.
-KNOWN_SECONDS = 2.0
-# Sums are kept for so long, in seconds: cuts and outages are looked back over.
-KEPT_SECONDS = 30.0
+# Tokens that were spent this long ago are known in other domains: copies of a
+# turn are sent when it ends, and a domain that is cut off is considered silent
+# within a shorter time.
+PROPAGATION_SECONDS = 2.0
+# Sums are retained for this long, so that the state before a network partition
+# or an outage can be looked up.
+RETENTION_SECONDS = 30.0
 
 
 class Spending:
-  """Sums of what ended turns were given, over the last seconds, oldest first.
+  """Recent values of a program's settled tokens.
 
-  What is reserved does not count: other domains are told as a turn ends.
+  Reserved tokens are not included, since other domains are notified when a turn
+  ends.
   """
 
   def __init__(self) -> None:
     self._marks: collections.deque[tuple[float, int]] = collections.deque()
 
   def note(self, settled: int, *, now: float) -> None:
-    """Takes note of what is settled at `now`, on the monotonic clock."""
+    """Records the settled tokens at `now`, on the monotonic clock."""
     if self._marks and self._marks[-1][1] == settled:
       return
     self._marks.append((now, settled))
-    while len(self._marks) > 1 and self._marks[1][0] <= now - KEPT_SECONDS:
+    while len(self._marks) > 1 and self._marks[1][0] <= now - RETENTION_SECONDS:
       self._marks.popleft()
 
   def get_known(self, *, now: float, lasted: float = 0.0) -> int:
-    """Returns what was settled by the time that others know of, in tokens.
+    """Returns the settled tokens that other domains are certain to know.
 
-    They have been told nothing for `lasted` seconds.
+    Other domains have received no updates for the last `lasted` seconds.
     """
-    limit = now - lasted - KNOWN_SECONDS
-    known = [settled for at, settled in self._marks if at <= limit]
+    known_until = now - lasted - PROPAGATION_SECONDS
+    known = [settled for at, settled in self._marks if at <= known_until]
     return known[-1] if known else 0
--- a/src/woadrun/version/teams.py
+++ b/src/woadrun/version/teams.py
@@ -1,7 +1,7 @@
-"""The teams of a routing table, found by the digests of their keys.
+"""The teams of a routing table, looked up by the digests of their keys.
 
-A key itself is a secret: it is replaced by its digest where it is decoded, and
-only digests are kept, compared and sent to other daemons.
+A key is a secret: it is replaced by its digest when it is decoded, and only
+digests are stored, compared and sent to other daemons.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import hashlib
 import urllib.parse
 
-# Enough that two keys never share a digest, in bytes.
+# Long enough to make a collision between the digests of two keys negligible.
 DIGEST_BYTES = 16
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rate:
-  """A limit: requests a second, and how many more at once.
+  """A rate limit, in requests per second, and its burst, in requests.
 
-  `version` is that of the routing table with the limit.
+  `version` is the version of the routing table that contains the limit.
   """
 
   version: int
@@ -28,7 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Team:
-  """A team; `priority` goes before that of a route, `rate` bounds requests."""
+  """A team.
+
+  `priority` takes precedence over the priority of a route; `rate` limits the
+  requests of the team.
+  """
 
   name: str
   priority: int | None = None
@@ -36,16 +40,17 @@
 
 
 def digest_key(key: str) -> str:
-  """Returns the digest by which a key is known."""
+  """Returns the digest that identifies a key."""
   data = key.encode('utf-8', 'surrogateescape')
   return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def scope(team: str | None, id: str) -> str:
-  """Returns the name of a team's program or turn among those of all teams.
+  """Returns the id of a team's program or turn, unique among all teams.
 
-  `team` is None where there are no teams, and empty for requests of none.
-  Quoted teams contain no colon, so no id of one team reads as another's.
+  `team` is None if no teams are configured, and empty for requests without a
+  team.  The team is quoted and so contains no colon, which rules out collisions
+  between the ids of different teams.
   """
   if team is None or not id:
     return id
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions against their naive forms and their promises."""
+"""Decision functions compared with naive implementations and invariants."""
 
 import pathlib
 
@@ -33,7 +33,7 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-  """The fair queue against a list that is searched for each call."""
+  """Compares the fair queue with a linear search in a list of calls."""
 
   def __init__(self):
     super().__init__()
@@ -80,8 +80,9 @@
     name = data.draw(strategies.sampled_from(sorted(self.calls)))
     row = self.calls.pop(name).row
     self.fair.remove(name)
-    # The naive list forgets a row without calls at its next push; keep
-    # both in step by leaving a row's last call in place.
+    # The model advances the virtual time of a row without calls at its next
+    # push.  The queue does not if removed calls are still in its heap, so each
+    # row keeps at least one call here.
     if not any(c.row == row for c in self.calls.values()):
       self.push(row, 0.0, 1.0, 0.0)
 
@@ -90,14 +91,14 @@
     assert len(self.fair) == len(self.calls)
 
 
-def test_the_fair_queue_agrees_with_a_search():
+def test_fair_queue_agrees_with_linear_search():
   stateful.run_state_machine_as_test(
     QueueMachine,
     settings=hypothesis.settings(max_examples=200, stateful_step_count=40),
   )
 
 
-def test_rows_with_work_waiting_get_their_weighted_share():
+def test_backlogged_rows_get_their_weighted_share():
   fair = queue.FairQueue()
   for number in range(3000):
     fair.push(make_call(number, 'abc'[number % 3]))
@@ -109,8 +110,8 @@
 
 
 @given(attained=strategies.floats(0, 1e9))
-def test_nothing_is_delayed_beyond_the_bound(attained):
-  assert 0 <= queue.get_delay(attained) <= queue.MOST_DELAY
+def test_delay_is_bounded(attained):
+  assert 0 <= queue.get_delay(attained) <= queue.MAX_DELAY_SECONDS
 
 
 def make_candidate(name, **values):
@@ -118,7 +119,7 @@
   return routing.Candidate(name=name, **{**usual, **values})
 
 
-def test_a_call_goes_to_its_prefix_unless_the_wait_costs_more():
+def test_call_goes_to_prefix_holder_unless_wait_costs_more():
   def choose(**values):
     holder = make_candidate('holder', cached=9000, **values)
     other = make_candidate('other')
@@ -134,7 +135,7 @@
 
 
 @given(count=strategies.integers(1, 200), turn=strategies.integers(0, 999))
-def test_a_choice_among_many_looks_at_few_and_at_the_holder(count, turn):
+def test_pick_returns_few_upstreams_and_the_prefix_holder(count, turn):
   names = [f'e{n}' for n in range(count)]
   found = routing.pick(names, 'e0', turn)
   assert 'e0' in found and len(found) == len(set(found))
@@ -147,7 +148,7 @@
   rate=strategies.floats(0.5, 100),
   gaps=strategies.lists(strategies.floats(0, 1), max_size=60),
 )
-def test_a_bucket_lets_no_more_through_than_its_rate(rate, gaps):
+def test_bucket_grants_no_more_than_its_rate(rate, gaps):
   bucket = admission.Bucket(rate=rate, burst=rate, level=rate, filled_at=0.0)
   now, taken = 0.0, 0
   for gap in gaps:
@@ -168,7 +169,7 @@
 
 
 @given(calls=strategies.lists(strategies.booleans(), max_size=200))
-def test_retries_stay_within_their_share(calls):
+def test_retries_stay_within_their_budget(calls):
   budget = admission.RetryBudget()
   retries = 0
   for has_failed in calls:
@@ -189,7 +190,7 @@
 
 
 @pytest.mark.parametrize('site', ['consortium', 'tuilagi'])
-def test_the_product_beats_the_naive_version_in_a_surge(site):
+def test_product_outperforms_naive_policy_in_surge(site):
   product = run(site, 'surge', 'woadrun')
   naive = run(site, 'surge', 'naive')
   assert sum(product.latencies) < 0.9 * sum(naive.latencies)
@@ -197,14 +198,14 @@
   assert product.waste.gone == 0
 
 
-def test_a_run_is_the_same_each_time():
+def test_simulation_is_deterministic():
   short = {'seconds': 60.0}
   one = run('tuilagi', 'loops-and-hangs', 'woadrun', **short)
   two = run('tuilagi', 'loops-and-hangs', 'woadrun', **short)
   assert one == two
 
 
-def test_faults_of_an_experiment_are_told_together(tmp_path):
+def test_experiment_errors_are_reported_together(tmp_path):
   path = tmp_path / 'bad.toml'
   path.write_text('name = "x"\nseconds = -1\nkinds = []\n[site]\nslots = 0\n')
   with pytest.raises(errors.FindingsError) as caught:
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -1,4 +1,4 @@
-"""Entries of instances: their lives, and rows that others wrote."""
+"""Entries of instances: incarnations, and rows with invalid contents."""
 
 import base64
 import json
@@ -59,7 +59,7 @@
     {'born': -1},
   ],
 )
-def test_an_entry_that_says_something_else_names_no_instance(changes):
+def test_entry_with_an_invalid_field_is_rejected(changes):
   with pytest.raises(msgspec.MsgspecError):
     make_instance(**changes)
 
@@ -67,14 +67,14 @@
 @pytest.mark.parametrize(
   'name', ['service', 'address', 'zone', 'slots', 'state']
 )
-def test_an_entry_that_lacks_a_field_names_no_instance(name):
+def test_entry_without_a_required_field_is_rejected(name):
   entry = {key: value for key, value in GOOD.items() if key != name}
   with pytest.raises(msgspec.MsgspecError):
     discovery.decode(make_row(json.dumps(entry).encode()))
 
 
 @hypothesis.given(value=strategies.binary(max_size=60))
-def test_any_bytes_are_no_instance(value):
+def test_arbitrary_bytes_are_rejected(value):
   with pytest.raises(msgspec.MsgspecError):
     discovery.decode(make_row(value))
 
@@ -84,7 +84,7 @@
     strategies.none(), strategies.integers(), strategies.text(max_size=9)
   )
 )
-def test_a_row_with_any_value_does_not_hide_the_others(value):
+def test_row_with_an_invalid_value_does_not_hide_other_rows(value):
   good = {
     'table': 't',
     'tls_key': 'a',
@@ -99,10 +99,10 @@
   assert [row.key.name for row in page.rows] == ['a', 'b']
 
 
-# --- Lives --------------------------------------------------------------------
+# --- Incarnations -------------------------------------------------------------
 
 
-def test_a_late_entry_of_an_older_life_changes_nothing():
+def test_delayed_entry_of_an_older_incarnation_is_ignored():
   directory = instances.Directory(grace=1.0)
   directory.put(make_instance(born=2000))
   directory.put(make_instance(born=1000, state='draining'))
@@ -112,7 +112,7 @@
   assert directory.find('models').all == ()
 
 
-def test_a_second_life_is_used_after_the_first_one_drained():
+def test_new_incarnation_replaces_a_draining_one():
   directory = instances.Directory(grace=1.0)
   directory.put(make_instance(born=1000, state='draining'))
   assert directory.find('models').all == ()
@@ -128,7 +128,7 @@
   await fleet.shared.change(writes=[(rows.Key('servers', '', id), value)])
 
 
-async def test_what_was_learned_of_a_life_ends_with_it():
+async def test_measurements_end_with_their_incarnation():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     daemon = fleet.by_name['n1']
@@ -154,7 +154,7 @@
   'entry',
   [b'\xff\xfe', b'', b'[]', b'{"service": "models"}', {**GOOD, 'slots': 'x'}],
 )
-async def test_one_foreign_entry_leaves_the_others_in_use(entry):
+async def test_invalid_entry_does_not_affect_other_entries(entry):
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     daemon = fleet.by_name['n1']
@@ -170,7 +170,7 @@
     await fleet.turn('n1', 'a')
 
 
-async def test_foreign_rows_of_members_name_no_member():
+async def test_invalid_member_rows_are_ignored():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     for number, value in enumerate(
@@ -195,7 +195,7 @@
     await fleet.turn('n1', 'a')
 
 
-async def test_a_foreign_row_of_a_program_is_refused_and_not_run():
+async def test_turn_of_a_program_with_an_invalid_row_is_refused():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     await fleet.turn('n1', 'a')
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Budgets under several writers: no tokens are lost, none counted twice."""
+"""Budgets with concurrent writers: no tokens are lost or counted twice."""
 
 import copy
 
@@ -19,65 +19,67 @@
 
 
 class Shared:
-  """The row as the store has it, changed under a condition."""
+  """The row in the store, written by compare-and-swap on its version."""
 
   def __init__(self):
     self.row = ledger.LedgerRow(home='north-1')
     self.version = 0
 
-  def save(self, held):
-    row = held.make_row('')
-    if held.version == self.version:
+  def save(self, owner):
+    row = owner.make_row('')
+    if owner.version == self.version:
       self.version += 1
       self.row = row
-      held.note_saved(row, self.version)
+      owner.note_saved(row, self.version)
       return True
-    held.rebase(self.row, self.version)
+    owner.rebase(self.row, self.version)
     return False
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(STEPS)
-def test_owners_that_save_in_any_order_agree_with_one_that_does_all(steps):
+def test_owners_saving_in_any_order_agree_with_a_single_owner(steps):
   shared = Shared()
   owners = [ledger.Ledger(saved=shared.row, version=0) for _ in range(3)]
   expected = {}
   for number, (index, action, turn, tokens) in enumerate(steps):
-    held = owners[index]
-    # Each owner has turns of its own.
+    owner = owners[index]
+    # Turns of different owners have different ids.
     request = f'{index}/{turn}'
     if action == 'reserve':
       request = f'{request}/{number}'
-      held.reserve(request, tokens)
+      owner.reserve(request, tokens)
       expected[request] = tokens
     elif action == 'settle':
-      mine = [r for r in held.reserved if r.startswith(f'{index}/{turn}/')]
-      for request in mine:
-        held.settle(request, 1)
+      own_requests = [
+        r for r in owner.reserved if r.startswith(f'{index}/{turn}/')
+      ]
+      for request in own_requests:
+        owner.settle(request, 1)
         expected[request] = 1
     else:
-      shared.save(held)
-  for held in owners:
-    while held.is_dirty and not shared.save(held):
+      shared.save(owner)
+  for owner in owners:
+    while owner.is_dirty and not shared.save(owner):
       pass
   final = ledger.Ledger(saved=shared.row, version=shared.version)
   assert final.spent == sum(expected.values())
 
 
-def test_a_turn_reserved_or_settled_twice_counts_once():
-  held = ledger.Ledger(saved=ledger.LedgerRow(home='a'), version=0)
-  held.reserve('r', 10)
-  held.reserve('r', 10)
-  assert held.spent == 10
-  held.settle('r', 4)
-  held.settle('r', 4)
-  assert held.spent == 4
+def test_turn_reserved_or_settled_twice_counts_once():
+  owner = ledger.Ledger(saved=ledger.LedgerRow(home='a'), version=0)
+  owner.reserve('r', 10)
+  owner.reserve('r', 10)
+  assert owner.spent == 10
+  owner.settle('r', 4)
+  owner.settle('r', 4)
+  assert owner.spent == 4
 
 
-def test_a_row_of_another_writer_keeps_its_bound_for_other_domains():
-  held = ledger.Ledger(saved=ledger.LedgerRow(home='a'), version=0)
-  held.rebase(ledger.LedgerRow(home='b', settled=5, away_most=50), 3)
-  assert (held.home, held.away_most, held.spent) == ('b', 50, 5)
+def test_rebase_keeps_home_and_away_limit_of_the_newer_row():
+  owner = ledger.Ledger(saved=ledger.LedgerRow(home='a'), version=0)
+  owner.rebase(ledger.LedgerRow(home='b', settled=5, away_most=50), 3)
+  assert (owner.home, owner.away_most, owner.spent) == ('b', 50, 5)
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
@@ -86,36 +88,36 @@
     st.tuples(
       st.integers(0, 2),  # which owner
       st.sampled_from(['reserve', 'settle', 'save', 'tell']),
-      st.integers(0, 5),  # which turn, or whom to tell
+      st.integers(0, 5),  # which turn, or which owner to update
       st.integers(1, 9),  # tokens
     ),
     max_size=60,
   )
 )
-def test_views_that_are_told_to_each_other_count_each_turn_once(steps):
+def test_merged_views_count_each_turn_once(steps):
   shared = Shared()
   owners = [ledger.Ledger(saved=shared.row, version=0) for _ in range(3)]
   expected = {}
   for number, (index, action, turn, tokens) in enumerate(steps):
-    held = owners[index]
+    owner = owners[index]
     if action == 'reserve':
       request = f'{turn}/{number}'
-      held.reserve(request, tokens)
+      owner.reserve(request, tokens)
       expected[request] = tokens
     elif action == 'settle':
-      for request in [r for r in held.reserved if r.startswith(f'{turn}/')]:
-        held.settle(request, 1)
-        # Only one daemon hears how a turn ended.
+      for request in [r for r in owner.reserved if r.startswith(f'{turn}/')]:
+        owner.settle(request, 1)
+        # Only one daemon receives the outcome of a turn.
         expected[request] = 1
         for other in owners:
-          if other is not held and request in other.reserved:
-            other.merge(held)
+          if other is not owner and request in other.reserved:
+            other.merge(owner)
     elif action == 'tell':
-      owners[turn % 3].merge(copy.deepcopy(held))
+      owners[turn % 3].merge(copy.deepcopy(owner))
     else:
-      shared.save(held)
-  for held in owners:
-    while held.is_dirty and not shared.save(held):
+      shared.save(owner)
+  for owner in owners:
+    while owner.is_dirty and not shared.save(owner):
       pass
   final = ledger.Ledger(saved=shared.row, version=shared.version)
   assert final.spent == sum(expected.values())
@@ -126,11 +128,12 @@
   return [ledger.Ledger(saved=row, version=0) for _ in range(count)]
 
 
-def test_leave_that_one_owner_refuses_does_not_end_what_another_gave():
-  """A turn ran uncounted: its first owner had recorded it as ended with 0.
+def test_refusal_by_one_owner_keeps_reservation_of_another():
+  """A turn that one owner refuses and another grants stays reserved.
 
-  The first owner set tokens aside, reached no standby and refused; the second
-  one gave leave.  Brought together, the two views had the turn as ended.
+  Guards against a turn that ran uncounted: the first owner reserved tokens,
+  reached no standby, refused the turn and recorded it as ended with 0 tokens.
+  The second owner granted the turn, but the merged views had it as ended.
   """
   first, second = make_views(2)
   first.reserve('r', 10)
@@ -144,7 +147,7 @@
   assert (first.spent, second.spent) == (6, 6)
 
 
-def test_leave_that_another_domain_gave_through_the_store_stays_counted():
+def test_refusal_keeps_reservation_saved_by_another_domain():
   shared = Shared()
   first, second = make_views(2)
   first.reserve('r', 10)
@@ -161,11 +164,11 @@
   assert final.spent == 10 + 6
 
 
-def test_an_owner_that_refused_a_turn_may_give_leave_to_it_later():
-  [held] = make_views(1)
-  held.reserve('r', 10)
-  held.withdraw('r')
-  assert held.spent == 0
-  held.reserve('r', 10)
-  held.settle('r', 6)
-  assert held.spent == 6
+def test_owner_may_grant_a_turn_that_it_refused_before():
+  [owner] = make_views(1)
+  owner.reserve('r', 10)
+  owner.withdraw('r')
+  assert owner.spent == 0
+  owner.reserve('r', 10)
+  owner.settle('r', 6)
+  assert owner.spent == 6
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Turns go where their prompts were read, unless that costs more."""
+"""Turns are sent to the engine that has their prompt cached."""
 
 import contextlib
 import random
@@ -16,7 +16,7 @@
 PART = turn_messages.Part
 
 
-def test_parts_are_held_up_to_the_first_one_that_is_not_whole():
+def test_prompt_is_cached_up_to_the_first_incomplete_part():
   held = prefixes.Prefixes()
   held.note('e1', (PART('s', 500), PART('a', 300)), now=0.0)
   longer = (PART('s', 500), PART('a', 700))
@@ -24,7 +24,7 @@
   assert held.find((PART('s', 600), PART('a', 1)), now=1.0) == {'e1': 500}
   helper = (PART('s', 500), PART('a', 300), PART('b', 90))
   assert held.find(helper, now=1.0) == {'e1': 800}
-  assert held.find(longer, now=prefixes.HELD_SECONDS + 2) == {}
+  assert held.find(longer, now=prefixes.CACHE_TTL_SECONDS + 2) == {}
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
     ('5c:-1', ()),
   ],
 )
-def test_parts_are_read_from_the_header(text, expected):
+def test_parts_are_decoded_from_the_header(text, expected):
   assert wire._decode_parts(text) == expected
 
 
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize('number', range(4))
-async def test_a_line_and_its_helpers_stay_through_any_daemon(number):
+async def test_engine_affinity_holds_across_daemons(number):
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     system, line = PART('s', 500), f'line{number}'
@@ -74,11 +74,11 @@
     assert fleet.engines.sent[-1].instance.id == first
 
 
-# --- A load: many programs of three turns at six engines ----------------------
+# --- Simulated load: many programs of three turns at six engines --------------
 
 
 class Cache:
-  """What engines hold, without a bound, and what they had to read."""
+  """Unbounded prefix caches of engines; `read` counts the uncached tokens."""
 
   def __init__(self):
     self.held_by_engine = {}
@@ -86,16 +86,19 @@
 
   def run(self, engine, parts):
     held = self.held_by_engine.setdefault(engine, {})
-    is_whole = True
+    is_complete = True
     for part in parts:
-      known = held.get(part.id, 0) if is_whole else 0
+      known = held.get(part.id, 0) if is_complete else 0
       self.read += max(0, part.tokens - known)
-      is_whole &= known >= part.tokens
+      is_complete &= known >= part.tokens
       held[part.id] = max(held.get(part.id, 0), part.tokens)
 
 
-def play(*, knows_prefixes):
-  """Returns the prompt tokens read for 120 programs, eight turns at a time."""
+def simulate(*, knows_prefixes):
+  """Returns the prompt tokens that engines read for 120 programs.
+
+  Eight turns run concurrently.
+  """
   random.seed(7)
   load = loads.Loads(domain='d')
   found = [
@@ -129,5 +132,5 @@
   return cache.read
 
 
-def test_engines_read_half_of_what_they_read_without_affinity():
-  assert play(knows_prefixes=True) < 0.6 * play(knows_prefixes=False)
+def test_affinity_reduces_prompt_tokens_read_by_engines():
+  assert simulate(knows_prefixes=True) < 0.6 * simulate(knows_prefixes=False)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Refused callers are told when to come back, by what is known of the cause."""
+"""The retry delay of refused callers depends on the cause of the refusal."""
 
 import nodes
 import pytest
@@ -7,12 +7,12 @@
 from woadrun.decisions import retry_after
 
 
-def test_an_outage_is_expected_to_last_as_long_again():
+def test_outage_is_expected_to_last_as_long_again():
   found = [retry_after.estimate_outage(s) for s in (0.0, 0.3, 1.2, 9.0)]
   assert found == [1.5, 1.5, 1.5, 2.0]
 
 
-async def test_callers_come_back_later_the_longer_a_domain_was_silent():
+async def test_retry_delay_grows_with_the_silence_of_a_domain():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a')
@@ -21,8 +21,8 @@
     south.store.is_direct = False
     await nodes.wait_until(lambda: not south.store.is_reached)
     await fleet.stop('n1')
-    # The home of the program is silent, and so is the store; no copy from
-    # there has come either.
+    # The home domain of the program and the store are both silent, and this
+    # domain has no copy of the program.
     south.programs.entry_by_program.clear()
     south.programs.cache._turn_by_request.clear()
     south.programs.cache._until_by_request.clear()
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Keys of teams: who is let in, what an instance sees, who sees whose turns."""
+"""Keys of teams: authentication, forwarded headers and isolation of teams."""
 
 import asyncio
 import logging
@@ -58,7 +58,7 @@
   ],
   ids=['none', 'unknown', 'scheme', 'no scheme', 'two keys', 'name only'],
 )
-async def test_without_a_known_key_nothing_reaches_an_instance(lines):
+async def test_request_without_a_known_key_is_rejected(lines):
   async with (
     nodes.Nodes(config=make_config()) as fleet,
     test_ingress.serve(fleet) as port,
@@ -68,7 +68,7 @@
     assert fleet.engines.sent == []
 
 
-async def test_an_instance_sees_the_team_and_never_the_key():
+async def test_instance_receives_the_team_and_never_the_key():
   async with (
     nodes.Nodes(config=make_config()) as fleet,
     test_ingress.serve(fleet) as port,
@@ -95,7 +95,7 @@
     assert 'Tenant' not in sent
 
 
-async def test_without_teams_headers_pass_on_as_they_are():
+async def test_headers_are_forwarded_unchanged_without_teams():
   async with nodes.Nodes() as fleet, test_ingress.serve(fleet) as port:
     head = make_head('Authorization: Token x', 'Tenant: y')
     assert get_status(await test_ingress.talk(port, head)) == 200
@@ -103,7 +103,7 @@
     assert (sent['Authorization'], sent['Tenant']) == ('Token x', 'y')
 
 
-def test_a_row_holds_no_key_once_it_is_sealed():
+def test_sealed_row_contains_no_key():
   sealed = operator.seal(msgspec.json.encode(make_config()))
   assert RED.encode() not in sealed
   table = operator.decode(sealed)
@@ -111,12 +111,12 @@
 
 
 @pytest.mark.parametrize('value', [b'{', b'{"tenants": 3}', b'[]', b''])
-def test_a_row_that_cannot_be_read_holds_nothing(value):
+def test_sealed_row_of_invalid_value_is_empty(value):
   assert operator.seal(value) == b''
 
 
-async def test_a_key_that_was_just_added_is_not_refused():
-  """The daemon's table is older than the key: it asks before it refuses."""
+async def test_newly_added_key_is_accepted():
+  """A daemon with an outdated table refreshes it before it refuses a key."""
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1')
     table = fleet.by_name['n1'].catalogue._tables
@@ -128,7 +128,7 @@
     assert fleet.engines.sent[0].team == 'green'
 
 
-async def test_an_unknown_key_without_the_store_is_no_final_refusal():
+async def test_unknown_key_during_store_outage_is_refused_as_retryable():
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1')
     fleet.view_by_name['n1'].is_cut = True
@@ -139,7 +139,7 @@
     assert fleet.engines.sent == []
 
 
-async def test_a_second_attempt_is_not_made_with_a_key_that_is_gone():
+async def test_no_second_attempt_with_a_revoked_key():
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1')
     served = fleet.by_name['n1']
@@ -158,7 +158,7 @@
     assert len(fleet.engines.sent) == 1
 
 
-async def test_two_teams_that_swap_their_keys_keep_their_turns():
+async def test_teams_that_swap_keys_keep_their_own_turns():
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a', key=RED)
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize('name', ['n1', 's1'])
 @pytest.mark.parametrize('is_store_out', [False, True])
-async def test_a_turn_of_another_team_is_as_unknown_as_none(name, is_store_out):
+async def test_turn_of_another_team_is_reported_as_unknown(name, is_store_out):
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a', key=RED)
@@ -191,7 +191,7 @@
     assert statuses['b'] == statuses['c'] == statuses['d']
 
 
-async def test_teams_with_the_same_program_id_have_their_own_budgets():
+async def test_teams_with_the_same_program_id_have_separate_budgets():
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1')
     for key in (RED, BLUE):
@@ -202,7 +202,7 @@
       assert caught.value.status == 402
 
 
-async def test_no_key_is_logged_kept_or_sent_to_other_daemons(caplog):
+async def test_no_key_is_logged_exported_or_sent_to_other_daemons(caplog):
   caplog.set_level(logging.DEBUG)
   async with (
     nodes.Nodes(config=make_config()) as fleet,
@@ -215,13 +215,13 @@
     copy = await served.feeds.answer(
       nodes.node.turn_messages.AskFeed(table='op')
     )
-    told = [served.counters.encode(), msgspec.json.encode(copy)]
+    outputs = [served.counters.encode(), msgspec.json.encode(copy)]
     for secret in (RED, BLUE, 'wrong-key'):
       assert secret not in caplog.text
-      assert not any(secret.encode() in text for text in told)
+      assert not any(secret.encode() in text for text in outputs)
 
 
-async def test_a_table_that_cannot_be_read_leaves_no_key_in_use():
+async def test_keys_expire_while_the_table_is_unreadable():
   async with nodes.Nodes(config=make_config(), revocation=5.0) as fleet:
     await fleet.start('n1')
     request = nodes.make_request('a', path='/look/', key=RED)
@@ -236,7 +236,7 @@
     await nodes.wait_until(known.is_fresh)
 
 
-async def test_a_team_that_loses_its_last_key_is_refused():
+async def test_team_without_keys_is_refused():
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1')
     await fleet.configure(make_config(2, red=[], blue=[BLUE]))
@@ -246,7 +246,7 @@
     assert caught.value.status == 401
 
 
-def test_names_of_one_team_never_read_as_those_of_another():
+def test_scoped_ids_of_different_teams_never_collide():
   pairs = [('a', 'b:c'), ('a:b', 'c'), ('', 'a:b:c'), ('a%3Ab', 'c')]
   names = [teams.scope(team, id) for team, id in pairs]
   assert len(set(names)) == len(pairs)
@@ -254,7 +254,7 @@
   assert teams.scope('a', '') == ''
 
 
-async def test_the_adapter_of_the_store_hands_on_no_key():
+async def test_store_adapter_returns_no_key():
   async with test_platform_store.serve() as (client, kept):
     value = msgspec.json.encode(make_config())
     await kept.change(writes=[(rows.Key('op', '', 'config'), value)])
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Which turns go first at an engine."""
+"""Scheduling urgency of turns at an engine."""
 
 import dataclasses
 import time
@@ -9,24 +9,24 @@
 from woadrun.request import exchange
 
 
-def test_programs_that_are_late_go_behind_all_that_are_not():
+def test_late_programs_are_scheduled_after_all_others():
   in_time = [
     urgency.get_urgency(priority, finish=10.0, now=9.0)
-    for priority in range(urgency.LATE_STEPS)
+    for priority in range(urgency.LATE_PENALTY)
   ]
   late = [
     urgency.get_urgency(priority, finish=10.0, now=10.0)
-    for priority in range(urgency.LATE_STEPS)
+    for priority in range(urgency.LATE_PENALTY)
   ]
   assert max(in_time) < min(late)
   assert late == sorted(late)
 
 
-def test_without_a_time_to_finish_the_priority_counts():
+def test_priority_is_used_without_a_finish_time():
   assert urgency.get_urgency(3, finish=None, now=1e9) == 3
 
 
-async def test_engines_are_told_of_late_turns():
+async def test_late_turns_are_sent_to_engines_as_less_urgent():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     for id, seconds in (('early', 5.0), ('late', -5.0)):
