--- a/src/woadrun/decisions/program_need.py
+++ b/src/woadrun/decisions/program_need.py
@@ -15,7 +15,7 @@
 LEARN_WEIGHT = 0.1
 # A program that has sent no request for this long is considered ended.
 IDLE_TIMEOUT_SECONDS = 2.0
-# Lower bound of a program's duration, which is a divisor.
+# Lower bound of the duration by which request rates are computed.
 MIN_DURATION_SECONDS = 0.1
 # The factor by which programs may be slowed down by waiting for the rate.  A
 # program sends one request after the other, so it waits instead of being
@@ -95,8 +95,8 @@
     need = self.need_by_kind.get(ended.kind)
     seconds = ended.last_request_at - ended.started_at - ended.waited_seconds
     if need is None:
-      found = Need(requests=ended.requests, seconds=seconds)
-      self.need_by_kind[ended.kind] = found
+      first_need = Need(requests=ended.requests, seconds=seconds)
+      self.need_by_kind[ended.kind] = first_need
       return
     need.requests += LEARN_WEIGHT * (ended.requests - need.requests)
     need.seconds += LEARN_WEIGHT * (seconds - need.seconds)
--- a/src/woadrun/version/instances.py
+++ b/src/woadrun/version/instances.py
@@ -122,12 +122,12 @@
 
   def drop_missing(self, *, now: float) -> list[Instance]:
     """Removes and returns entries that were missing for the grace period."""
-    gone = [
+    expired = [
       id
       for id, since in self._missing_since.items()
       if now - since >= self._grace
     ]
-    return [found for id in gone if (found := self.remove(id)) is not None]
+    return [found for id in expired if (found := self.remove(id)) is not None]
 
   def get_missing(self) -> list[str]:
     """Returns the ids that are missing from the last complete list."""
@@ -138,10 +138,10 @@
 
     The group is cached until an entry of the service changes.
     """
-    known = self._group_by_service.get(service)
-    if known is None:
+    group = self._group_by_service.get(service)
+    if group is None:
       ids = self._ids_by_service.get(service, {})
       found = (self.by_id[id] for id in ids)
-      known = Group([item for item in found if not item.is_draining])
-      self._group_by_service[service] = known
-    return known
+      group = Group([item for item in found if not item.is_draining])
+      self._group_by_service[service] = group
+    return group
--- a/src/woadrun/version/roster.py
+++ b/src/woadrun/version/roster.py
@@ -247,9 +247,9 @@
   share = (counts[address] - counts[target]) // 2
   if share < 1:
     return [], ''
-  mine = get_owned(roster, address)
-  mine.sort(key=lambda number: roster.slots[number].standby != target)
-  return mine[:share], target
+  owned = get_owned(roster, address)
+  owned.sort(key=lambda number: roster.slots[number].standby != target)
+  return owned[:share], target
 
 
 def get_keeper(
