--- a/src/woadrun/version/roster.py
+++ b/src/woadrun/version/roster.py
@@ -109,7 +109,7 @@
 
 
 def get_digest(text: str) -> bytes:
-  """Returns an 8-byte hash of a text, the same in every process."""
+  """Returns eight bytes of hash of a text, the same in every process."""
   return hashlib.blake2b(text.encode(), digest_size=8).digest()
 
 
