--- a/src/woadrun/platform/ingress.py
+++ b/src/woadrun/platform/ingress.py
@@ -38,11 +38,11 @@
     self._is_ready = is_ready
     self._is_leaving = is_leaving
 
-  async def answer_ready(self, _: web.BaseRequest) -> web.StreamResponse:
+  async def handle_ready(self, _: web.BaseRequest) -> web.StreamResponse:
     """Returns 200 while the daemon accepts new connections, else 503."""
     return web.Response(status=200 if self._is_ready() else 503)
 
-  async def answer_metrics(self, _: web.BaseRequest) -> web.StreamResponse:
+  async def handle_metrics(self, _: web.BaseRequest) -> web.StreamResponse:
     """Returns the daemon's metrics as text."""
     return web.Response(body=self._read_metrics(), content_type='text/plain')
 
--- a/src/woadrun/platform/program.py
+++ b/src/woadrun/platform/program.py
@@ -98,7 +98,7 @@
     if getattr(reloaded, field.name) != getattr(config, field.name)
   ]
   if isinstance(binding.store, store.Store):
-    binding.store.use_address(reloaded.store_address)
+    binding.store.set_address(reloaded.store_address)
   log.info(
     'Reload: the store is at %s; different since the start: %s.',
     reloaded.store_address,
@@ -133,10 +133,10 @@
 ) -> list[web.ServerRunner]:
   callers = make_callers_runner(entry, finish=node.get_finish_seconds(config))
   ready = web.ServerRunner(
-    web.Server(entry.answer_ready, access_log=None), shutdown_timeout=0.2
+    web.Server(entry.handle_ready, access_log=None), shutdown_timeout=0.2
   )
   metrics = web.ServerRunner(
-    web.Server(entry.answer_metrics, access_log=None), shutdown_timeout=0.2
+    web.Server(entry.handle_metrics, access_log=None), shutdown_timeout=0.2
   )
   host, _ = endpoints.split(config.peers_address)
   for runner, address in (
--- a/src/woadrun/platform/store.py
+++ b/src/woadrun/platform/store.py
@@ -90,9 +90,9 @@
     self._addresses = addresses
     self._timeout = timeout
     self.calls = 0
-    self.use_address(address)
+    self.set_address(address)
 
-  def use_address(self, address: str) -> None:
+  def set_address(self, address: str) -> None:
     """Sends all further calls to `address`, an IP:PORT."""
     self.address = address
 
--- a/src/woadrun/platform/upstream.py
+++ b/src/woadrun/platform/upstream.py
@@ -107,7 +107,9 @@
 
 
 def _is_reusable(response: aiohttp.ClientResponse) -> bool:
-  return response.content.at_eof() and not wire.is_last(response.headers)
+  return response.content.at_eof() and not wire.closes_connection(
+    response.headers
+  )
 
 
 async def _read(response: aiohttp.ClientResponse) -> AsyncGenerator[bytes]:
--- a/src/woadrun/platform/wire.py
+++ b/src/woadrun/platform/wire.py
@@ -63,7 +63,7 @@
 # arrives in time.
 _DEADLINE_MARGIN_SECONDS = 0.04
 # Lowest priority of a request at an engine; 0 is the highest.
-_LEAST_URGENT = 9
+_LOWEST_PRIORITY = 9
 
 
 def decode_request(
@@ -168,7 +168,7 @@
   headers.append((DEADLINE, str(int(seconds * 1000))))
   headers.append((EXPECTED_INSTANCE, sending.instance.id))
   if sending.urgency is not None:
-    urgency = min(_LEAST_URGENT, max(0, sending.urgency))
+    urgency = min(_LOWEST_PRIORITY, max(0, sending.urgency))
     headers.append((PRIORITY, str(urgency)))
   return headers
 
@@ -192,7 +192,7 @@
   return headers.get(REQUEST_ID) == request_id and SIGNATURE in headers
 
 
-def is_last(headers: multidict.CIMultiDictProxy[str]) -> bool:
+def closes_connection(headers: multidict.CIMultiDictProxy[str]) -> bool:
   """Returns whether the server closes the connection after a response."""
   return headers.get('Connection', '').lower() == 'close'
 
--- a/src/woadrun/process/rate_keeper.py
+++ b/src/woadrun/process/rate_keeper.py
@@ -67,7 +67,7 @@
     )
 
 
-def find_keeper(members: fleet.Fleet, team: str) -> beats.Member | None:
+def find_rate_owner(members: fleet.Fleet, team: str) -> beats.Member | None:
   """Returns the owner of a team's rate among the domains that are reachable.
 
   Returns None if no member can be the owner.
@@ -100,7 +100,7 @@
     # Shares of the own domain, for when the owner of the whole rate is cut off.
     self._fallback_by_team: dict[str, _TeamLimit] = {}
     self._polled_at = self._changed_at = time.monotonic()
-    self._known: list[str] = []
+    self._staying_names: list[str] = []
 
   def __len__(self) -> int:
     return len(self._limit_by_team)
@@ -210,7 +210,7 @@
 
   def _get_share(self, team: str) -> float:
     """Returns this daemon's share of a team's rate, 0 if it owns none."""
-    if find_keeper(self._members, team) != self._members.me:
+    if find_rate_owner(self._members, team) != self._members.me:
       return 0.0
     domains = self._members.domains
     silent = self._members.find_silent()
@@ -245,9 +245,9 @@
       return
     was_stalled = now - self._polled_at > STALL_THRESHOLD_SECONDS
     self._polled_at = now
-    known = self._members.find_staying()
-    if known != self._known or was_stalled:
-      self._known = known
+    staying_names = self._members.find_staying()
+    if staying_names != self._staying_names or was_stalled:
+      self._staying_names = staying_names
       self._changed_at = now
     for team, limit in self._limit_by_team.items():
       self._set_share(limit, self._get_share(team), now)
--- a/src/woadrun/request/authorization.py
+++ b/src/woadrun/request/authorization.py
@@ -19,7 +19,7 @@
 from woadrun.version import teams
 
 NO_TABLE_RETRY_SECONDS = 0.5
-# Retry delay told to callers while the store cannot confirm that the routing
+# Retry delay sent to callers while the store cannot confirm that the routing
 # table is the newest one.
 UNCONFIRMED_RETRY_SECONDS = 0.5
 
@@ -28,17 +28,17 @@
 class Grant:
   """An authorized request's route, and its team if it has a key.
 
-  `is_keyed` is false if the routing table has no teams.
+  `has_teams` is false if the routing table defines no teams.
   """
 
   route: routes.Route
   team: teams.Team | None = None
-  is_keyed: bool = False
+  has_teams: bool = False
 
   @property
   def team_name(self) -> str | None:
     """The team's name; empty without a team, None if the table has no teams."""
-    if not self.is_keyed:
+    if not self.has_teams:
       return None
     return self.team.name if self.team else ''
 
@@ -54,7 +54,7 @@
   """Authorizes requests by the current routing table."""
 
   def __init__(self, *, known: catalogue.Catalogue) -> None:
-    self._known = known
+    self._catalogue = known
 
   async def grant(self, request: exchange.Request) -> Grant:
     """Returns the route and team of a request.
@@ -63,21 +63,21 @@
     request, `config_unavailable` if there is no table or a newer one could not
     be ruled out, and `table_too_old` if the key may have been revoked.
     """
-    if self._known.table is None:
+    if self._catalogue.table is None:
       raise errors.WoadrunError(
         errors.Code.CONFIG_UNAVAILABLE,
         'No routing table has been loaded yet.',
         retry_after=NO_TABLE_RETRY_SECONDS,
       )
-    found = self._decide(self._known.table, request)
+    found = self._decide(self._catalogue.table, request)
     if isinstance(found, errors.WoadrunError):
-      if not await self._known.refresh():
+      if not await self._catalogue.refresh():
         raise errors.WoadrunError(
           errors.Code.CONFIG_UNAVAILABLE,
           f'A newer routing table may exist: {found.message}',
           retry_after=UNCONFIRMED_RETRY_SECONDS,
         )
-      found = self._decide(self._known.table, request)
+      found = self._decide(self._catalogue.table, request)
     if isinstance(found, errors.WoadrunError):
       raise found
     self._check_age(found)
@@ -90,7 +90,7 @@
     """
     if granted.team is None:
       return
-    table = self._known.table
+    table = self._catalogue.table
     if table is not None and table.team_by_digest is not None:
       team = table.team_by_digest.get(request.key_digest)
       if team is None:
@@ -116,12 +116,12 @@
     team = table.team_by_digest.get(request.key_digest)
     if team is None and not route.is_public:
       return _make_unknown_key_error()
-    return Grant(route=route, team=team, is_keyed=True)
+    return Grant(route=route, team=team, has_teams=True)
 
   def _check_age(self, granted: Grant) -> None:
-    if granted.team is None or self._known.is_fresh():
+    if granted.team is None or self._catalogue.is_fresh():
       return
-    age = self._known.age.get()
+    age = self._catalogue.age.get()
     raise errors.WoadrunError(
       errors.Code.TABLE_TOO_OLD,
       f'The routing table may be {age:.1f} s old: the key may be revoked.',
--- a/src/woadrun/request/cut_watch.py
+++ b/src/woadrun/request/cut_watch.py
@@ -27,7 +27,8 @@
   One task polls for all streams, and runs only while there are any: a task for
   each stream would wake the process twice for each turn.
 
-  `is_cut_off` returns whether a failure domain cannot be reached.
+  `is_cut_off` returns whether a network partition separates this daemon from
+  the store and from a failure domain.
   """
 
   def __init__(self, *, is_cut_off: Callable[[str], bool]) -> None:
--- a/src/woadrun/request/rates.py
+++ b/src/woadrun/request/rates.py
@@ -28,8 +28,8 @@
 # Validity of a grant: a request that is sent later needs a new one.
 GRANT_TTL_SECONDS = 1.0
 NO_OWNER_RETRY_SECONDS = 0.5
-# Maximum wait of a request for a responsible owner: two daemons may
-# disagree for a moment on which member owns the limit.
+# Maximum wait of a request for a member that accepts to be the owner: two
+# daemons may disagree for a moment on which member owns the limit.
 OWNER_WAIT_SECONDS = 0.25
 # The same wait while this daemon has run for less than twice this time: after a
 # failure of all daemons, callers return before the daemons have discovered each
@@ -67,7 +67,7 @@
     wait past its deadline, and `isolated` or `owner_unavailable` if no owner of
     the limit can be reached.
     """
-    ask = _make_ask(request, granted)
+    ask = _make_take_message(request, granted)
     if ask is None:
       return time.monotonic()
     if self._members.is_isolated and not self._is_starting:
@@ -125,7 +125,7 @@
     return age < 2 * STARTUP_OWNER_WAIT_SECONDS
 
   async def _ask(self, ask: quota_messages.TakeUnit) -> quota_messages.Unit:
-    owner = rate_keeper.find_keeper(self._members, ask.team)
+    owner = rate_keeper.find_rate_owner(self._members, ask.team)
     if owner is not None and not self._is_unreachable(owner):
       try:
         return await self._ask_at(owner, ask)
@@ -175,7 +175,7 @@
       raise
 
 
-def _make_ask(
+def _make_take_message(
   request: exchange.Request, granted: authorization.Grant
 ) -> quota_messages.TakeUnit | None:
   """Returns the message for a request, or None if its team has no limit."""
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -191,7 +191,7 @@
     await asyncio.sleep(3.0)
     for _ in range(6):
       daemon = load.served.get_alive()[0].daemon
-      owner = rate_keeper.find_keeper(daemon.fleet, 'red').name
+      owner = rate_keeper.find_rate_owner(daemon.fleet, 'red').name
       await load.served.kill(owner)
       await asyncio.sleep(0.6)
       await load.served.start(owner)
@@ -453,7 +453,7 @@
   async with nodes.Nodes() as served:
     await served.start('n1', 's1', 'w1')
     owners = {
-      rate_keeper.find_keeper(item.fleet, 'red')
+      rate_keeper.find_rate_owner(item.fleet, 'red')
       for item in served.by_name.values()
     }
     assert len(owners) == 1
@@ -541,7 +541,7 @@
   team = next(
     f'team{number}'
     for number in range(100)
-    if rate_keeper.find_keeper(members, f'team{number}') == members.other
+    if rate_keeper.find_rate_owner(members, f'team{number}') == members.other
   )
   owner._poll_members(time.monotonic() + rate_keeper.POLL_INTERVAL_SECONDS)
   owner._changed_at -= 100.0
