--- a/src/woadrun/request/attempts.py
+++ b/src/woadrun/request/attempts.py
@@ -1,8 +1,9 @@
-"""Sends a request to one instance after another, as often as it may.
+"""Sends requests to instances of a service, with retries and hedging.
 
-A request that may not be repeated is sent again only if the instance says
-that it did not run, or was never reached.  One that may be repeated goes to a
-second instance as well when the first takes much longer than usual.
+A request that is not idempotent is retried only if the instance reports that
+it did not run the request, or if the request did not reach the instance.  An
+idempotent request is also sent to a second instance when the first one takes
+much longer than average.
 """
 
 from __future__ import annotations
@@ -30,16 +31,16 @@
 
 log = logging.getLogger('woadrun.attempts')
 
-# Statuses from here on are failures of the instance.
-FIRST_FAILURE_STATUS = 500
-# A request is not sent with less time than this left, in seconds: the way
-# alone takes a part of it.
-LEAST_SECONDS = 0.02
+# Replies with this status or a higher one count as failures of the instance.
+MIN_FAILURE_STATUS = 500
+# A request is not sent when less time than this is left until its deadline,
+# because the network round trip alone takes part of that time.
+MIN_REMAINING_SECONDS = 0.02
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Begun:
-  """A request under way to one instance; closing `stack` ends it."""
+class _Attempt:
+  """An attempt whose reply has begun; closing `stack` ends the request."""
 
   sending: exchange.Sending
   stack: contextlib.AsyncExitStack
@@ -47,11 +48,12 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Plan:
-  """A request, where it was sent, and what is known of its outcome.
+class _SendState:
+  """The state of one request across its attempts.
 
-  `tried` has the lives of instances, `cause` the last failure, `refusal` why it
-  must not be sent any more.
+  `tried` lists the incarnations (`Instance.life`) that were chosen so far,
+  `last_error` is the error of the latest failed attempt, and `refusal` is the
+  authorization error that forbids further attempts.
   """
 
   request: exchange.Request
@@ -59,23 +61,24 @@
   deadline: float
   body: bytes
   cached_by_instance: dict[str, int]
-  granted: authorization.Grant
+  grant: authorization.Grant
   refusal: errors.WoadrunError | None = None
   tried: list[str] = dataclasses.field(default_factory=list)
-  cause: Exception | None = None
+  last_error: Exception | None = None
   may_have_run: bool = False
 
   @property
   def route(self) -> routes.Route:
-    """The route that was granted."""
-    return self.granted.route
+    """The granted route."""
+    return self.grant.route
 
 
 class Attempts:
-  """Finds instances for requests, sends, and sends again.
+  """Chooses instances for requests, sends the requests and retries them.
 
-  `is_cut_off` tells whether this daemon is on the lesser side of a cut, with
-  a failure domain on the other side.
+  `is_cut_off` takes a failure domain and returns whether a network partition
+  separates it from this daemon, with this daemon on the side that has lost the
+  row store.
   """
 
   def __init__(
@@ -87,180 +90,201 @@
     upstreams: exchange.Upstreams,
     is_cut_off: Callable[[str], bool] = lambda domain: False,
   ) -> None:
-    self._known = known
-    self._load = load
-    self._access = access
+    self._catalogue = known
+    self._loads = load
+    self._authorization = access
     self._upstreams = upstreams
-    self._cuts = cut_watch.CutWatch(is_cut_off=is_cut_off)
-    self._budget = hedging.HedgeBudget()
+    self._partition_watch = cut_watch.CutWatch(is_cut_off=is_cut_off)
+    self._hedge_budget = hedging.HedgeBudget()
 
   @contextlib.asynccontextmanager
   async def send(
     self,
     request: exchange.Request,
-    granted: authorization.Grant,
+    grant: authorization.Grant,
     *,
     service: str,
     deadline: float,
     body: bytes | None = None,
     cached_by_instance: dict[str, int] | None = None,
   ) -> AsyncIterator[tuple[exchange.Reply, instances.Instance]]:
-    """Returns a context with the first reply of an instance that ran it.
+    """Returns a context with the reply of the instance that ran the request.
 
-    Raises `upstream_unavailable` where none ran it, `outcome_unknown`
-    where one may have, `deadline_passed` where it may have and time is up,
-    and what `Authorization.check` does where it has not run.
+    Raises `upstream_unavailable` if no instance ran the request, and
+    `outcome_unknown` if one may have run it but sent no valid reply.  If
+    `Authorization.check` fails before any instance may have run the request,
+    raises the error of that check.
     """
-    route = granted.route
-    plan = _Plan(
+    route = grant.route
+    state = _SendState(
       request=request,
       service=service,
       deadline=deadline,
       body=body if body is not None else request.body,
       cached_by_instance=cached_by_instance or {},
-      granted=granted,
+      grant=grant,
     )
     async with contextlib.AsyncExitStack() as stack:
-      while (sending := self._find_next(plan)) is not None:
+      while (sending := self._prepare_next(state)) is not None:
         try:
-          begun = await self._begin(plan, sending)
+          attempt = await self._start_attempt(state, sending)
         except exchange.NotSent as error:
-          plan.cause = error
+          state.last_error = error
           continue
         except exchange.Lost as error:
-          plan.cause = error
-          plan.may_have_run = True
+          state.last_error = error
+          state.may_have_run = True
           if route.kind is routes.Kind.IDEMPOTENT:
             continue
           break
-        stack.push_async_exit(begun.stack)
-        reply = begun.reply
+        stack.push_async_exit(attempt.stack)
+        reply = attempt.reply
         if reply.has_run and reply.is_genuine:
-          yield reply, begun.sending.instance
+          yield reply, attempt.sending.instance
           return
         await stack.aclose()
         if not reply.has_run:
           continue
-        plan.may_have_run = True
+        state.may_have_run = True
         if route.kind is not routes.Kind.IDEMPOTENT:
           break
-    raise self._make_error(plan)
+    raise self._make_error(state)
 
-  # --- One instance after the other -----------------------------------------
+  # --- Attempts -------------------------------------------------------------
 
-  def _find_next(self, plan: _Plan) -> exchange.Sending | None:
-    """Returns the next send of a request, or None where none is left."""
-    seconds = exchange.get_seconds_left(plan.deadline)
-    if len(plan.tried) >= plan.route.max_attempts or seconds < LEAST_SECONDS:
+  def _prepare_next(self, state: _SendState) -> exchange.Sending | None:
+    """Returns the next attempt to make, or None if there is none.
+
+    There is none once the route's limit of attempts or the deadline is
+    reached, the request is no longer authorized, or no instance is left.
+    """
+    seconds = exchange.get_seconds_left(state.deadline)
+    if (
+      len(state.tried) >= state.route.max_attempts
+      or seconds < MIN_REMAINING_SECONDS
+    ):
       return None
     try:
-      self._access.check(plan.request, plan.granted)
+      self._authorization.check(state.request, state.grant)
     except errors.WoadrunError as error:
-      plan.refusal = error
+      state.refusal = error
       return None
-    turn = plan.request.turn
+    turn = state.request.turn
     prompt = turn.prompt if turn else 0
-    instance = self._load.choose(
-      self._known.directory.find(plan.service),
-      tried=plan.tried,
+    instance = self._loads.choose(
+      self._catalogue.directory.find(state.service),
+      tried=state.tried,
       prompt=prompt,
       parts=turn.parts if turn else (),
-      cached_by_id=plan.cached_by_instance,
+      cached_by_id=state.cached_by_instance,
     )
     if instance is None:
       return None
-    plan.tried.append(instance.life)
+    state.tried.append(instance.life)
     if turn is not None:
-      self._load.note_prompt(instance.life, turn.parts)
+      self._loads.note_prompt(instance.life, turn.parts)
     return exchange.Sending(
-      request=plan.request,
+      request=state.request,
       instance=instance,
-      body=plan.body,
+      body=state.body,
       seconds=seconds,
-      urgency=_get_urgency(plan),
-      team=plan.granted.team_name,
+      urgency=_get_urgency(state),
+      team=state.grant.team_name,
     )
 
-  async def _begin(self, plan: _Plan, sending: exchange.Sending) -> _Begun:
-    if plan.route.kind is routes.Kind.STREAM:
-      return await self._try_watched(sending)
-    if plan.route.kind is routes.Kind.ONCE:
-      # An answer may still come once a cut has healed.
-      return await self._try(sending)
-    self._budget.note_first()
-    return await self._try_hedged(plan, sending)
-
-  async def _try_watched(self, sending: exchange.Sending) -> _Begun:
-    """Returns the reply of an instance, which ends if a cut takes it away.
-
-    The caller of a stream otherwise waits for seconds until it gives up and
-    asks again.
+  async def _start_attempt(
+    self, state: _SendState, sending: exchange.Sending
+  ) -> _Attempt:
+    if state.route.kind is routes.Kind.STREAM:
+      return await self._send_watched(sending)
+    if state.route.kind is routes.Kind.ONCE:
+      # Such a request is never aborted during a network partition, because its
+      # reply may still arrive after the partition has healed.
+      return await self._send_once(sending)
+    self._hedge_budget.note_first()
+    return await self._send_hedged(state, sending)
+
+  async def _send_watched(self, sending: exchange.Sending) -> _Attempt:
+    """Makes an attempt that is aborted if a partition cuts off its instance.
+
+    Otherwise the caller of a stream waits for seconds until it times out and
+    retries.
     """
     domain = sending.instance.domain
     scope = asyncio.timeout(None)
     now = asyncio.get_running_loop().time()
     try:
       async with scope:
-        with self._cuts.watch(domain, lambda: scope.reschedule(now)):
-          begun = await self._try(sending)
+        with self._partition_watch.watch(domain, lambda: scope.reschedule(now)):
+          attempt = await self._send_once(sending)
     except TimeoutError as error:
       if not scope.expired():
         raise
-      raise exchange.Lost(f'{domain} is cut off') from error
-    begun.stack.enter_context(
-      self._cuts.watch(domain, lambda: self._break_off(begun))
+      raise exchange.Lost(f'failure domain {domain} is cut off') from error
+    attempt.stack.enter_context(
+      self._partition_watch.watch(
+        domain, lambda: self._abort_on_partition(attempt)
+      )
     )
-    return begun
+    return attempt
 
-  def _break_off(self, begun: _Begun) -> None:
-    domain = begun.sending.instance.domain
-    self._log(begun.sending, f'broken off: {domain} is cut off')
-    begun.reply.abort()
-
-  async def _try_hedged(self, plan: _Plan, sending: exchange.Sending) -> _Begun:
-    """Returns the first good reply of one instance, or of a second one."""
-    tasks = [asyncio.ensure_future(self._try(sending))]
-    usual = self._load.get_usual_seconds(plan.service)
+  def _abort_on_partition(self, attempt: _Attempt) -> None:
+    domain = attempt.sending.instance.domain
+    self._log_outcome(
+      attempt.sending, f'aborted: failure domain {domain} is cut off'
+    )
+    attempt.reply.abort()
+
+  async def _send_hedged(
+    self, state: _SendState, sending: exchange.Sending
+  ) -> _Attempt:
+    """Returns the first usable attempt, hedging with a second instance."""
+    tasks = [asyncio.ensure_future(self._send_once(sending))]
+    average_seconds = self._loads.get_usual_seconds(state.service)
     try:
-      await asyncio.wait(tasks, timeout=hedging.get_patience(usual))
-      if not tasks[0].done() and self._budget.take():
-        second = self._find_next(plan)
+      await asyncio.wait(tasks, timeout=hedging.get_patience(average_seconds))
+      if not tasks[0].done() and self._hedge_budget.take():
+        second = self._prepare_next(state)
         if second is not None:
-          self._log(sending, f'slower than usual, {usual * 1000:.0f} ms')
-          tasks.append(asyncio.ensure_future(self._try(second)))
-      return await _get_first_good(plan, tasks)
+          self._log_outcome(
+            sending,
+            'no reply yet, hedging with a second instance; the average is '
+            f'{average_seconds * 1000:.0f} ms',
+          )
+          tasks.append(asyncio.ensure_future(self._send_once(second)))
+      return await _get_first_usable(state, tasks)
     except BaseException:
-      await _end(tasks)
+      await _cancel_attempts(tasks)
       raise
 
-  async def _try(self, sending: exchange.Sending) -> _Begun:
+  async def _send_once(self, sending: exchange.Sending) -> _Attempt:
     id = sending.instance.life
     stack = contextlib.AsyncExitStack()
-    stack.enter_context(self._load.count(id))
-    stack.callback(self._learn, sending, time.monotonic())
-    self._load.health.note_sent(stack, id, sending.instance.service)
+    stack.enter_context(self._loads.count(id))
+    stack.callback(self._record_duration, sending, time.monotonic())
+    self._loads.health.note_sent(stack, id, sending.instance.service)
     try:
       reply = await stack.enter_async_context(self._upstreams.send(sending))
-      self._load.health.note_answer(stack)
+      self._loads.health.note_answer(stack)
     except BaseException as error:
       await stack.aclose()
-      self._note_failure(sending, error)
+      self._record_failure(sending, error)
       raise
     finally:
-      self._load.health.note_end(stack)
-    self._note_reply(id, reply)
-    stack.callback(self._note_end, id, reply)
-    self._log(sending, _describe(reply))
-    return _Begun(sending=sending, stack=stack, reply=reply)
+      self._loads.health.note_end(stack)
+    self._record_reply(id, reply)
+    stack.callback(self._record_idle_connection, id, reply)
+    self._log_outcome(sending, _describe_reply(reply))
+    return _Attempt(sending=sending, stack=stack, reply=reply)
 
-  def _note_reply(self, id: str, reply: exchange.Reply) -> None:
+  def _record_reply(self, id: str, reply: exchange.Reply) -> None:
     if not reply.has_run:
-      self._load.health.note_failure(id, health.REJECTION_WEIGHT)
-    elif not reply.is_genuine or reply.status >= FIRST_FAILURE_STATUS:
-      self._load.health.note_failure(id)
-    reply.chunks = self._follow(id, reply.chunks)
+      self._loads.health.note_failure(id, health.REJECTION_WEIGHT)
+    elif not reply.is_genuine or reply.status >= MIN_FAILURE_STATUS:
+      self._loads.health.note_failure(id)
+    reply.chunks = self._relay_chunks(id, reply.chunks)
 
-  async def _follow(
+  async def _relay_chunks(
     self, id: str, chunks: AsyncGenerator[bytes]
   ) -> AsyncGenerator[bytes]:
     try:
@@ -268,32 +292,34 @@
         async for chunk in chunks:
           yield chunk
     except exchange.Lost:
-      self._load.health.note_failure(id)
+      self._loads.health.note_failure(id)
       raise
 
-  def _note_end(self, id: str, reply: exchange.Reply) -> None:
+  def _record_idle_connection(self, id: str, reply: exchange.Reply) -> None:
     if reply.is_reusable():
-      self._load.note_rested(id)
+      self._loads.note_rested(id)
 
-  def _learn(self, sending: exchange.Sending, started: float) -> None:
+  def _record_duration(
+    self, sending: exchange.Sending, started_at: float
+  ) -> None:
     instance = sending.instance
-    seconds = time.monotonic() - started
-    self._load.note_seconds(instance.life, instance.service, seconds)
+    seconds = time.monotonic() - started_at
+    self._loads.note_seconds(instance.life, instance.service, seconds)
 
-  def _note_failure(
+  def _record_failure(
     self, sending: exchange.Sending, error: BaseException
   ) -> None:
     if isinstance(error, exchange.NotSent):
-      self._load.note_unreachable(sending.instance.life)
-      self._load.health.note_failure(sending.instance.life)
-      self._log(sending, f'not sent: {error}')
+      self._loads.note_unreachable(sending.instance.life)
+      self._loads.health.note_failure(sending.instance.life)
+      self._log_outcome(sending, f'instance not reached: {error}')
     elif isinstance(error, exchange.Lost):
-      self._load.health.note_failure(
+      self._loads.health.note_failure(
         sending.instance.life, health.SILENCE_WEIGHT
       )
-      self._log(sending, f'no answer: {error}')
+      self._log_outcome(sending, f'no reply: {error}')
 
-  def _log(self, sending: exchange.Sending, outcome: str) -> None:
+  def _log_outcome(self, sending: exchange.Sending, outcome: str) -> None:
     log.info(
       'Request %s at %s (%s, %.0f ms left): %s.',
       sending.request.id,
@@ -304,59 +330,64 @@
       extra=sending.request.fields,
     )
 
-  def _make_error(self, plan: _Plan) -> errors.WoadrunError:
-    if plan.may_have_run:
+  def _make_error(self, state: _SendState) -> errors.WoadrunError:
+    if state.may_have_run:
       return errors.WoadrunError(
         errors.Code.OUTCOME_UNKNOWN,
-        f'The answer was lost: {plan.cause}',
+        'The request may have run, but no valid reply arrived: '
+        f'{state.last_error}',
         ran=errors.Ran.UNKNOWN,
       )
-    if plan.refusal is not None:
-      return plan.refusal
-    found = self._known.directory.find(plan.service)
+    if state.refusal is not None:
+      return state.refusal
+    group = self._catalogue.directory.find(state.service)
     return errors.WoadrunError(
       errors.Code.UPSTREAM_UNAVAILABLE,
-      f'None of {len(found)} instances ran it, {len(plan.tried)} tried.',
-      retry_after=self._load.estimate_return(found),
+      f'None of {len(group)} instances ran the request; '
+      f'{len(state.tried)} were tried.',
+      retry_after=self._loads.estimate_return(group),
     )
 
 
-def _get_urgency(plan: _Plan) -> int | None:
-  turn = plan.request.turn
+def _get_urgency(state: _SendState) -> int | None:
+  turn = state.request.turn
   if turn is None:
     return None
   return urgency.get_urgency(
-    plan.granted.priority, finish=turn.finish, now=time.monotonic()
+    state.grant.priority, finish=turn.finish, now=time.monotonic()
   )
 
 
-async def _get_first_good(
-  plan: _Plan, tasks: list[asyncio.Task[_Begun]]
-) -> _Begun:
-  """Returns the first reply that counts, else what the first send gave.
+async def _get_first_usable(
+  state: _SendState, tasks: list[asyncio.Task[_Attempt]]
+) -> _Attempt:
+  """Returns the first usable attempt; without one, the first task's result.
 
-  All other sends are ended.
+  The result of the first task may also be an exception, which is raised.  All
+  other attempts are cancelled or closed.
   """
-  left = set(tasks)
-  while left:
-    done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
-    good = [task for task in done if _is_good(task)]
-    if good:
-      await _end([task for task in tasks if task is not good[0]])
-      return good[0].result()
-  plan.may_have_run |= any(_may_have_run(task) for task in tasks)
-  await _end(tasks[1:])
+  pending = set(tasks)
+  while pending:
+    done, pending = await asyncio.wait(
+      pending, return_when=asyncio.FIRST_COMPLETED
+    )
+    usable = [task for task in done if _is_usable(task)]
+    if usable:
+      await _cancel_attempts([task for task in tasks if task is not usable[0]])
+      return usable[0].result()
+  state.may_have_run |= any(_may_have_run(task) for task in tasks)
+  await _cancel_attempts(tasks[1:])
   return tasks[0].result()
 
 
-def _is_good(task: asyncio.Task[_Begun]) -> bool:
+def _is_usable(task: asyncio.Task[_Attempt]) -> bool:
   if task.cancelled() or task.exception() is not None:
     return False
   reply = task.result().reply
   return reply.has_run and reply.is_genuine
 
 
-def _may_have_run(task: asyncio.Task[_Begun]) -> bool:
+def _may_have_run(task: asyncio.Task[_Attempt]) -> bool:
   if task.cancelled():
     return True
   if task.exception() is not None:
@@ -364,7 +395,7 @@
   return task.result().reply.has_run
 
 
-async def _end(tasks: list[asyncio.Task[_Begun]]) -> None:
+async def _cancel_attempts(tasks: list[asyncio.Task[_Attempt]]) -> None:
   for task in tasks:
     if not task.done():
       task.cancel()
@@ -372,11 +403,11 @@
       await task.result().stack.aclose()
 
 
-def _describe(reply: exchange.Reply) -> str:
+def _describe_reply(reply: exchange.Reply) -> str:
   if not reply.has_run:
-    return f'not run, {reply.status}'
+    return f'not run, status {reply.status}'
   return (
     f'answers {reply.status}'
     if reply.is_genuine
-    else 'no answer of this request'
+    else 'reply without the id of the request or the mark of the instance'
   )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What is sent again, and what a refusal says."""
+"""Tests for retries, hedging and partition handling of sent requests."""
 
 import asyncio
 
@@ -23,9 +23,9 @@
     nodes.make_reply(status=503, has_run=False),
     nodes.make_reply(status=421, has_run=False),
   ],
-  ids=['not sent', 'full', 'another instance'],
+  ids=['not sent', 'full', 'misdirected'],
 )
-async def test_what_did_not_run_is_sent_to_another_instance(fault):
+async def test_request_that_did_not_run_is_retried_on_another_instance(fault):
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     assert (await ask(fleet, '/act/', fault))[0] == 200
@@ -36,9 +36,9 @@
 @pytest.mark.parametrize(
   'fault',
   [exchange.Lost('reset'), nodes.make_reply(is_genuine=False)],
-  ids=['no answer', 'another answer'],
+  ids=['no reply', 'reply not genuine'],
 )
-async def test_what_may_have_run_once_is_not_sent_again(fault):
+async def test_non_idempotent_request_that_may_have_run_is_not_retried(fault):
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     with pytest.raises(errors.WoadrunError) as caught:
@@ -48,13 +48,13 @@
     assert caught.value.status == 502
 
 
-async def test_what_may_be_repeated_is_sent_again_after_a_lost_answer():
+async def test_idempotent_request_is_retried_after_a_lost_reply():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     assert (await ask(fleet, '/look/', exchange.Lost('reset')))[0] == 200
 
 
-async def test_a_refusal_of_all_instances_is_a_promise_with_a_time():
+async def test_refusal_by_all_instances_reports_not_run_and_retry_after():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     full = [nodes.make_reply(status=503, has_run=False) for _ in range(2)]
@@ -66,7 +66,7 @@
     assert len(fleet.engines.sent) == 2
 
 
-async def test_a_path_without_a_route_is_not_found():
+async def test_path_without_route_is_not_found():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     with pytest.raises(errors.WoadrunError) as caught:
@@ -74,7 +74,7 @@
     assert caught.value.status == 404
 
 
-async def test_a_lost_answer_of_what_may_be_repeated_holds_nobody_up():
+async def test_idempotent_request_is_hedged_when_no_reply_arrives():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     assert (await ask(fleet, '/look/', nodes.SILENCE))[0] == 200
@@ -84,19 +84,19 @@
     await nodes.wait_until(lambda: not running())
 
 
-async def test_what_may_not_be_repeated_is_sent_once_however_long_it_takes():
+async def test_non_idempotent_request_is_not_hedged():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.engines.faults.append(nodes.SILENCE)
     request = nodes.make_request('r', path='/act/', seconds=1.5)
-    asked = asyncio.ensure_future(fleet.ask('n1', request))
-    await asyncio.wait({asked}, timeout=1.2)
-    assert not asked.done()
+    task = asyncio.ensure_future(fleet.ask('n1', request))
+    await asyncio.wait({task}, timeout=1.2)
+    assert not task.done()
     assert len(fleet.engines.sent) == 1
-    asked.cancel()
+    task.cancel()
 
 
-async def test_second_sends_are_bounded_where_a_service_is_silent():
+async def test_hedged_requests_are_limited_when_a_service_does_not_reply():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.engines.faults.extend([nodes.SILENCE] * 200)
@@ -111,25 +111,26 @@
     assert len(fleet.engines.sent) <= len(requests) + most
 
 
-async def test_a_stream_whose_instance_is_cut_off_ends_on_the_lesser_side():
+async def test_stream_is_aborted_when_a_partition_cuts_off_its_instance():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
-    torn = asyncio.Event()
+    aborted = asyncio.Event()
 
     async def stream():
       yield b'data: x\n\n'
-      await torn.wait()
+      await aborted.wait()
       raise exchange.Lost('aborted')
 
     reply = nodes.make_reply()
-    reply.chunks, reply.abort = stream(), torn.set
+    reply.chunks, reply.abort = stream(), aborted.set
     fleet.engines.faults.append(reply)
-    north = fleet.by_name['n1']
+    daemon = fleet.by_name['n1']
     running = asyncio.ensure_future(fleet.turn('n1', 'a'))
-    await nodes.wait_until(lambda: north.loads.get_running())
+    await nodes.wait_until(lambda: daemon.loads.get_running())
     await asyncio.sleep(2 * cut_watch.LOOK_SECONDS)
-    # With the store in reach the instance may be well.
-    north.fleet.is_silent = lambda domain: True
+    # The silence of the domain alone does not abort the stream: while the store
+    # is reachable, the instance may still be healthy.
+    daemon.fleet.is_silent = lambda domain: True
     await asyncio.sleep(2 * cut_watch.LOOK_SECONDS)
     assert not running.done()
     fleet.shared.is_out = True
@@ -137,17 +138,17 @@
       await asyncio.wait_for(running, 5.0)
 
 
-async def test_a_stream_that_has_not_begun_is_given_up_in_a_cut():
+async def test_stream_without_reply_is_abandoned_in_a_partition():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.engines.faults.append(nodes.SILENCE)
-    north = fleet.by_name['n1']
+    daemon = fleet.by_name['n1']
     running = asyncio.ensure_future(fleet.turn('n1', 'a'))
-    await nodes.wait_until(lambda: north.loads.get_running())
+    await nodes.wait_until(lambda: daemon.loads.get_running())
     fleet.shared.is_out = True
-    north.fleet.is_silent = lambda domain: True
+    daemon.fleet.is_silent = lambda domain: True
     with pytest.raises(errors.WoadrunError) as caught:
       await asyncio.wait_for(running, 3.0)
-    # It may have run: no promise.
+    # The request may have run, so the error does not report it as not run.
     assert caught.value.status == 502
-    assert not north.loads.get_running()
+    assert not daemon.loads.get_running()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""What a daemon does costs few tasks: each one wakes the process anew."""
+"""Tests that daemons create few tasks, since each one wakes the event loop."""
 
 import asyncio
 import collections
@@ -7,7 +7,7 @@
 
 
 class TaskCount(collections.Counter):
-  """Tasks by the coroutine that they run."""
+  """Counts created tasks by the qualified name of their coroutine."""
 
   def __enter__(self):
     loop = asyncio.get_running_loop()
@@ -22,16 +22,17 @@
     return asyncio.Task(coroutine, loop=loop, **options)
 
 
-async def test_an_idle_daemon_begins_no_tasks_for_its_pauses():
+async def test_idle_daemon_creates_no_tasks_for_its_delays():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     with TaskCount() as tasks:
       await asyncio.sleep(1.0)
-  # The stand-in's own, for each of three feeds; no pause is among them.
+  # The in-memory store creates one task for each of the three feeds; delays
+  # create none.
   assert tasks.total() <= 3, tasks
 
 
-async def test_a_call_of_the_store_runs_in_its_callers_task():
+async def test_store_call_runs_in_the_task_of_its_caller():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     store = fleet.by_name['n1'].store
@@ -40,7 +41,7 @@
   assert not tasks
 
 
-async def test_a_turn_begins_one_task_for_the_watch_of_all():
+async def test_concurrent_turns_share_one_partition_watch_task():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     with TaskCount() as tasks:
@@ -48,4 +49,4 @@
         *(fleet.turn('n1', f'a{n}', program=f'p{n}') for n in range(8))
       )
   assert tasks['CutWatch._look_often'] <= 1
-  assert tasks['Attempts._try'] == 0, tasks
+  assert tasks['Attempts._send_once'] == 0, tasks
