--- a/src/woadrun/request/__init__.py
+++ b/src/woadrun/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request of a caller."""
+"""The handling of single requests of callers."""
--- a/src/woadrun/request/forwarding.py
+++ b/src/woadrun/request/forwarding.py
@@ -1,7 +1,8 @@
-"""From any daemon to the owner of a slot: finding it, and trying again.
+"""Forwards requests from any daemon to the owner of their program's slot.
 
-A request is tried again, under the same id, until the slot's owner
-answers or the time is up; the owner's records make that harmless.
+A request is retried under the same id until the slot's owner answers or the
+timeout is reached.  Retries are safe because the owner records each request by
+its id.
 """
 
 from __future__ import annotations
@@ -32,21 +33,21 @@
 
 log = logging.getLogger('woadrun.gateway')
 
-RETRY_SECONDS = 0.05
-# Two looks for the owner of one slot are at least so far apart.
-LOOK_SECONDS = 0.25
-CONNECT_TIMEOUT = 0.5
-# A program that cannot begin in one domain within this time begins in
-# another.
-START_SECONDS = 3.0
+RETRY_DELAY_SECONDS = 0.05
+# Minimum interval between two lookups of the owner of one slot.
+LOOKUP_INTERVAL_SECONDS = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.5
+# A program that cannot be started in one failure domain within this time is
+# started in another one.
+START_TIMEOUT_SECONDS = 3.0
 STREAM_HEADER = 'Woadrun-Stream'
 
 T = TypeVar('T')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Opened:
-  """An answer whose head is known; its bytes are still to be read."""
+class OpenedResponse:
+  """A response whose headers have arrived and whose body is still unread."""
 
   status: int
   content_type: str
@@ -55,8 +56,11 @@
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
-class _Followed:
-  """An answer being waited for or read from another daemon."""
+class _RemoteCall:
+  """A call to another daemon whose response is awaited or being read.
+
+  `close` cancels the call.
+  """
 
   domain: str
   slot: int
@@ -65,7 +69,7 @@
 
 
 class Forwarding(mode.Service):
-  """The way of requests to the owners of their programs."""
+  """Forwards requests to the owners of their programs."""
 
   def __init__(
     self,
@@ -78,71 +82,73 @@
     super().__init__()
     self._config = config
     self._members = members
-    self._links = links
-    self._local = local
-    self._followed: set[_Followed] = set()
-    self._looked_at: dict[tuple[str, int], float] = {}
+    self._peers = links
+    self._local_owner = local
+    self._remote_calls: set[_RemoteCall] = set()
+    self._last_lookup_at: dict[tuple[str, int], float] = {}
     self.retries = 0
 
-  # --- The requests ---------------------------------------------------------
+  # --- Requests -------------------------------------------------------------
 
-  async def open_call(self, call: calls.Call, *, is_stream: bool) -> Opened:
-    """Returns the answer of a call, from wherever its program is owned."""
+  async def open_call(
+    self, call: calls.Call, *, is_stream: bool
+  ) -> OpenedResponse:
+    """Returns the response of a call from the owner of its program."""
 
-    async def local() -> Opened:
-      answer = await self._local.call(call, is_stream=is_stream)
+    async def local() -> OpenedResponse:
+      answer = await self._local_owner.call(call, is_stream=is_stream)
       await answer.wait_begun()
-      return Opened(
+      return OpenedResponse(
         status=answer.status,
         content_type=answer.content_type,
         chunks=answer.read(),
         close=lambda: None,
       )
 
-    async def remote(address: str) -> Opened:
+    async def remote(address: str) -> OpenedResponse:
       return await self._open_remote(address, call, is_stream=is_stream)
 
-    return await self._try_owners(call.program, local, remote)
+    return await self._call_owner(call.program, local, remote)
 
   async def start_program(self, start: calls.Start) -> program.Program:
-    """Returns a program that was started by its owner."""
+    """Returns a program after its owner has started it."""
 
     async def local() -> program.Program:
-      return await self._local.start_program(start)
+      return await self._local_owner.start_program(start)
 
     async def remote(address: str) -> program.Program:
       return await self._post(
-        address, 'start', start, program.Program, timeout=START_SECONDS
+        address, 'start', start, program.Program, timeout=START_TIMEOUT_SECONDS
       )
 
-    return await self._try_owners(
-      start.program, local, remote, hold=START_SECONDS
+    return await self._call_owner(
+      start.program, local, remote, timeout=START_TIMEOUT_SECONDS
     )
 
   async def steer(self, steer: calls.Steer) -> program.Program:
-    """Returns a program after it was read, ended or cancelled."""
+    """Returns a program after its owner has read, ended or cancelled it."""
 
     async def local() -> program.Program:
-      return await steer_locally(self._local, steer)
+      return await steer_locally(self._local_owner, steer)
 
     async def remote(address: str) -> program.Program:
       return await self._post(address, 'steer', steer, program.Program)
 
-    return await self._try_owners(steer.program, local, remote)
+    return await self._call_owner(steer.program, local, remote)
 
   # --- Finding the owner ----------------------------------------------------
 
-  async def _try_owners(
+  async def _call_owner(
     self,
     program_id: str,
     local: Callable[[], Awaitable[T]],
     remote: Callable[[str], Awaitable[T]],
     *,
-    hold: float = math.inf,
+    timeout: float = math.inf,
   ) -> T:
     domain, slot = calls.split_program_id(program_id)
-    hold = min(hold, self._config.timing.hold)
-    deadline = time.monotonic() + hold
+    timeout = min(timeout, self._config.timing.hold)
+    deadline = time.monotonic() + timeout
     ran = errors.Ran.NOT_RUN
     while True:
       address = await self._find_owner(domain, slot)
@@ -152,7 +158,7 @@
         if address:
           return await remote(address)
       except errors.WoadrunError as error:
-        if not _is_moved(error):
+        if not _is_retriable(error):
           raise
         if error.ran is not errors.Ran.NOT_RUN:
           ran = error.ran
@@ -166,39 +172,49 @@
           retry_after=self._config.timing.silent_after,
         )
       self.retries += 1
-      await asyncio.sleep(RETRY_SECONDS)
-      await self._look_again(domain, slot, address)
+      await asyncio.sleep(RETRY_DELAY_SECONDS)
+      await self._refresh_owner(domain, slot, address)
 
   async def _find_owner(self, domain: str, slot: int) -> str:
     if domain not in self._config.daemon.region_domains:
       raise errors.WoadrunError(
-        errors.Code.UNKNOWN_PROGRAM, f'There is no failure domain {domain}.'
+        errors.Code.UNKNOWN_PROGRAM,
+        f'The failure domain {domain} does not exist.',
       )
     if slot >= self._config.daemon.slots:
       raise errors.WoadrunError(
-        errors.Code.UNKNOWN_PROGRAM, f'There is no slot {slot}.'
+        errors.Code.UNKNOWN_PROGRAM, f'The slot {slot} does not exist.'
       )
     if not self._members.directory.get_owner(domain, slot):
-      await self._look_again(domain, slot, '')
+      await self._refresh_owner(domain, slot, '')
     return self._members.directory.get_owner(domain, slot)
 
-  async def _look_again(self, domain: str, slot: int, asked: str) -> None:
-    """Learns who serves a slot; all that wait for it ask together.
+  async def _refresh_owner(
+    self, domain: str, slot: int, failed_address: str
+  ) -> None:
+    """Fetches the roster that names the owner of a slot from another daemon.
 
-    The roster comes by itself in this daemon's own domain; who serves a
-    slot while the table is out only the slot's pair is sure to know.
+    Concurrent callers share one lookup of the slot.  Within this daemon's own
+    domain no lookup is needed while the platform table is available, because
+    roster changes then arrive by themselves.  During an outage of the table
+    only the owner and the standby of the slot are certain to know its owner.
     """
-    is_own = domain == self._members.domain
+    is_own_domain = domain == self._members.domain
     now = time.monotonic()
-    if is_own and self._members.is_platform_up():
+    if is_own_domain and self._members.is_platform_up():
       return
-    if now - self._looked_at.get((domain, slot), 0.0) < LOOK_SECONDS:
+    if (
+      now - self._last_lookup_at.get((domain, slot), 0.0)
+      < LOOKUP_INTERVAL_SECONDS
+    ):
       return
-    self._looked_at[domain, slot] = now
+    self._last_lookup_at[domain, slot] = now
     pair = self._members.directory.get_pair(domain, slot)
-    others = [] if is_own else self._members.directory.get_addresses(domain)[:2]
+    others = (
+      [] if is_own_domain else self._members.directory.get_addresses(domain)[:2]
+    )
     for address in dict.fromkeys([*pair, *others]):
-      if address in (asked, self._members.address):
+      if address in (failed_address, self._members.address):
         continue
       with contextlib.suppress(errors.WoadrunError):
         await self._members.fetch(domain, address)
@@ -216,59 +232,61 @@
     timeout: float = math.inf,
   ) -> T:
     timeout = min(timeout, self._config.timing.hold)
-    return await self._links.post(
+    return await self._peers.post(
       address, path, message, type=type, timeout=timeout
     )
 
   async def _open_remote(
     self, address: str, call: calls.Call, *, is_stream: bool
-  ) -> Opened:
+  ) -> OpenedResponse:
     domain, slot = calls.split_program_id(call.program)
-    headers = {**self._links.headers, STREAM_HEADER: str(int(is_stream))}
+    headers = {**self._peers.headers, STREAM_HEADER: str(int(is_stream))}
     task = asyncio.ensure_future(
-      self._links.session.post(
+      self._peers.session.post(
         f'http://{address}/peer/call',
         data=msgspec.json.encode(call),
         headers=headers,
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT),
+        timeout=aiohttp.ClientTimeout(
+          total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+        ),
       )
     )
-    followed = _Followed(
+    remote_call = _RemoteCall(
       domain=domain, slot=slot, address=address, close=task.cancel
     )
-    self._followed.add(followed)
+    self._remote_calls.add(remote_call)
     try:
-      response = await self._wait_head(task, address)
+      response = await self._wait_for_headers(task, address)
       if response.headers.get('Woadrun-Error'):
         with contextlib.closing(response):
           raise errors.from_body(await response.read())
     except BaseException:
-      self._followed.discard(followed)
+      self._remote_calls.discard(remote_call)
       task.cancel()
       raise
-    followed.close = response.close
-    return Opened(
+    remote_call.close = response.close
+    return OpenedResponse(
       status=response.status,
       content_type=response.content_type,
-      chunks=self._read(response),
-      close=lambda: self._unfollow(followed, response),
+      chunks=self._read_chunks(response),
+      close=lambda: self._finish_remote_call(remote_call, response),
     )
 
-  async def _wait_head(
+  async def _wait_for_headers(
     self, task: asyncio.Task[aiohttp.ClientResponse], address: str
   ) -> aiohttp.ClientResponse:
     await asyncio.wait({task})
-    fault = asyncio.CancelledError() if task.cancelled() else task.exception()
-    if fault is None:
+    error = asyncio.CancelledError() if task.cancelled() else task.exception()
+    if error is None:
       return task.result()
-    is_refused = isinstance(fault, aiohttp.ClientConnectorError)
+    is_refused = isinstance(error, aiohttp.ClientConnectorError)
     raise errors.WoadrunError(
       errors.Code.OWNER_UNAVAILABLE,
-      f'{address} gave no answer ({type(fault).__name__}).',
+      f'No response from {address}: {type(error).__name__}.',
       ran=errors.Ran.NOT_RUN if is_refused else errors.Ran.UNKNOWN,
     )
 
-  async def _read(
+  async def _read_chunks(
     self, response: aiohttp.ClientResponse
   ) -> AsyncGenerator[bytes, None]:
     try:
@@ -277,35 +295,43 @@
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
       raise calls.StreamBroken from error
 
-  def _unfollow(
-    self, followed: _Followed, response: aiohttp.ClientResponse
+  def _finish_remote_call(
+    self, remote_call: _RemoteCall, response: aiohttp.ClientResponse
   ) -> None:
-    self._followed.discard(followed)
+    self._remote_calls.discard(remote_call)
     response.release()
 
   @mode.Service.task
   async def _watch_owners(self) -> None:
-    # A frozen owner keeps its connections open; the roster tells when
-    # another daemon has its slots.
+    # A frozen owner keeps its connections open.  The roster shows when another
+    # daemon has taken over its slots.
     while not self.should_stop:
       await self.sleep(self._config.timing.heartbeat)
-      for followed in list(self._followed):
-        if self._is_lost(followed):
-          followed.close()
-
-  def _is_lost(self, followed: _Followed) -> bool:
-    now = self._members.directory.get_owner(followed.domain, followed.slot)
-    if now in ('', followed.address):
+      for remote_call in list(self._remote_calls):
+        if self._has_owner_gone(remote_call):
+          remote_call.close()
+
+  def _has_owner_gone(self, remote_call: _RemoteCall) -> bool:
+    """Returns whether a call's daemon lost the slot and is no longer heard."""
+    current_owner = self._members.directory.get_owner(
+      remote_call.domain, remote_call.slot
+    )
+    if current_owner in ('', remote_call.address):
       return False
-    if followed.domain == self._members.domain:
-      return not self._members.hears(followed.address)
-    return followed.address not in self._members.directory.get_known_addresses()
+    if remote_call.domain == self._members.domain:
+      return not self._members.hears(remote_call.address)
+    return (
+      remote_call.address not in self._members.directory.get_known_addresses()
+    )
 
 
 async def steer_locally(
   local: owner.Owner, steer: calls.Steer
 ) -> program.Program:
-  """Returns a program that this daemon owns, after what is asked."""
+  """Returns a program that this daemon owns, after the requested operation.
+
+  The operation is to read the program, to end it or to cancel it.
+  """
   if steer.verb == 'end':
     return await local.end(steer, reason='ended')
   if steer.verb == 'cancel':
@@ -313,6 +339,6 @@
   return await local.get(steer)
 
 
-def _is_moved(error: errors.WoadrunError) -> bool:
-  is_gone = error.code is errors.Code.OWNER_UNAVAILABLE
-  return error.code is errors.Code.NOT_OWNER or is_gone
+def _is_retriable(error: errors.WoadrunError) -> bool:
+  is_unavailable = error.code is errors.Code.OWNER_UNAVAILABLE
+  return error.code is errors.Code.NOT_OWNER or is_unavailable
--- a/src/woadrun/request/placing.py
+++ b/src/woadrun/request/placing.py
@@ -1,4 +1,4 @@
-"""Which upstream a call goes to, and the permits it holds there."""
+"""Chooses upstreams for calls and holds the permits of the calls there."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
 from woadrun.version import program
 from woadrun.version import rows
 
-PREFILL_RATE = 8000.0
-# Service that a program has attained, in seconds for each token it spent.
+PREFILL_TOKENS_PER_SECOND = 8000.0
+# Service time that a program is taken to have attained per token it spent.
 SECONDS_PER_TOKEN = 0.02
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-  """What a call needs: its upstreams and, for a model call, its text."""
+  """What a call needs: candidate upstreams and, for model calls, the prompt.
+
+  `cost` is the service time that the call is expected to take, in seconds.
+  """
 
   names: list[str]
   body: dict[str, Any] = dataclasses.field(default_factory=dict)
@@ -40,13 +43,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Place:
-  """Where a call runs now, and the permit it holds there.
+  """The upstream that runs a call, and the permit that the call holds there.
 
-  `wasted` counts the tokens of attempts that were given up.
+  `wasted` counts the tokens of abandoned attempts.
   """
 
   name: str
-  ask: messages.Acquire | None = None
+  acquire: messages.Acquire | None = None
   started_at: float = 0.0
   is_resumed: bool = False
   is_ok: bool = True
@@ -55,7 +58,7 @@
 
 
 class Placing:
-  """The choice of upstreams and the permits of this daemon's calls."""
+  """Chooses upstreams and manages permits for the calls of this daemon."""
 
   def __init__(
     self,
@@ -68,23 +71,30 @@
     self._config = config
     self._members = members
     self._permits = permits
-    self._limits = row_limits
-    self._engine_settings = {e.name: e for e in config.engines}
-    self._service_settings = {s.name: s for s in config.services}
-    self._count_by_name: dict[str, int] = {}
-    self._turns = itertools.count()
+    self._row_limits = row_limits
+    self._settings_by_engine = {
+      engine.name: engine for engine in config.engines
+    }
+    self._settings_by_service = {
+      service.name: service for service in config.services
+    }
+    self._calls_by_upstream: dict[str, int] = {}
+    self._choice_counter = itertools.count()
 
   # --- Planning -------------------------------------------------------------
 
   def plan(
     self, call: calls.Call, found: program.Program, row: rows.Row
   ) -> Plan:
-    """Returns what a call needs, or raises why it cannot be served."""
+    """Returns what a call needs.
+
+    Raises `unknown_service` or `unknown_model` if no upstream can serve it.
+    """
     if call.call == program.SERVICE:
       name = call.target.partition('/')[0]
-      if name not in self._service_settings:
+      if name not in self._settings_by_service:
         raise errors.WoadrunError(
-          errors.Code.UNKNOWN_SERVICE, f'There is no service {name}.'
+          errors.Code.UNKNOWN_SERVICE, f'The service {name} does not exist.'
         )
       return Plan(names=[name])
     body = model_call.parse_body(call)
@@ -96,14 +106,19 @@
     return Plan(names=names, body=body, prepared=prepared, cost=cost)
 
   def get_engines(self, model: str, row: rows.Row) -> list[str]:
-    """Returns the engines that have a model which the row allows."""
+    """Returns the engines that serve a model.
+
+    Raises `unknown_model` if there is none or the row does not allow the model.
+    """
     names = [
-      name for name, e in self._engine_settings.items() if model in e.models
+      name
+      for name, engine in self._settings_by_engine.items()
+      if model in engine.models
     ]
     if not names or not row.is_model_allowed(model):
       raise errors.WoadrunError(
         errors.Code.UNKNOWN_MODEL,
-        f'{row.key} has no model {model}.',
+        f'The model {model} is not available to {row.key}.',
         place='model',
       )
     return names
@@ -111,28 +126,33 @@
   def choose(
     self, names: list[str], found: program.Program, prompt: int
   ) -> str:
-    """Returns the upstream that a call should go to."""
+    """Returns the upstream with the shortest expected time for a call.
+
+    Raises `upstream_unavailable` if all upstreams are on VMs that are leaving.
+    """
     now = time.monotonic()
-    staying = [n for n in names if not self._is_leaving(n)]
-    staying = [n for n in staying if self._is_reached(n)] or staying
-    if not staying:
+    available = [name for name in names if not self._is_on_leaving_vm(name)]
+    available = [
+      name for name in available if self._is_reachable(name)
+    ] or available
+    if not available:
       raise errors.WoadrunError(
         errors.Code.UPSTREAM_UNAVAILABLE,
-        f'{", ".join(names)}: leaving; none is left for the call.',
+        f'All upstreams for the call are on leaving VMs: {", ".join(names)}.',
         retry_after=1.0,
       )
-    looked_at = routing.pick(staying, found.engine, next(self._turns))
-    candidates = [self._make_candidate(n, found, now) for n in looked_at]
+    sampled = routing.pick(available, found.engine, next(self._choice_counter))
+    candidates = [self._make_candidate(name, found, now) for name in sampled]
     choice = routing.choose(
-      candidates, prompt=prompt, prefill_rate=PREFILL_RATE
+      candidates, prompt=prompt, prefill_rate=PREFILL_TOKENS_PER_SECOND
     )
-    return choice.name if choice else staying[0]
+    return choice.name if choice else available[0]
 
-  def _is_reached(self, name: str) -> bool:
+  def _is_reachable(self, name: str) -> bool:
     domain = self.get_domain(name)
-    return self._is_near(name) or self._members.hears_domain(domain)
+    return self._is_in_own_domain(name) or self._members.hears_domain(domain)
 
-  def _is_leaving(self, name: str) -> bool:
+  def _is_on_leaving_vm(self, name: str) -> bool:
     address = urllib.parse.urlsplit(self._get_settings(name).url).netloc
     return address in self._members.vms.get_leaving()
 
@@ -140,22 +160,22 @@
     self, name: str, found: program.Program, now: float
   ) -> routing.Candidate:
     load = self._members.load_by_upstream.get(name)
-    own = self._count_by_name.get(name, 0)
+    own_calls = self._calls_by_upstream.get(name, 0)
     return routing.Candidate(
       name=name,
       slots=load.slots if load else self._get_settings(name).slots,
-      running=max(own, load.running if load else 0),
+      running=max(own_calls, load.running if load else 0),
       waiting=load.waiting if load else 0,
       seconds=load.seconds if load else dispatcher.FIRST_SECONDS,
       cached=found.history_tokens if found.engine == name else 0,
-      is_near=self._is_near(name),
+      is_near=self._is_in_own_domain(name),
     )
 
-  def _is_near(self, name: str) -> bool:
+  def _is_in_own_domain(self, name: str) -> bool:
     return self.get_domain(name) == self._members.domain
 
   def _get_settings(self, name: str) -> settings.Upstream:
-    return self._engine_settings.get(name) or self._service_settings[name]
+    return self._settings_by_engine.get(name) or self._settings_by_service[name]
 
   # --- Permits --------------------------------------------------------------
 
@@ -168,11 +188,12 @@
     plan: Plan,
     permit: str,
   ) -> AsyncIterator[Place]:
-    """Holds the row's permit, and gives all permits back at the end.
+    """Holds the row's permit, and releases all permits of the call on exit.
 
-    Yields the place that was chosen; the call has yet to enter it.
+    Yields the chosen place.  The caller acquires the upstream's own permit with
+    `enter`.
     """
-    await self._limits.acquire(row, permit)
+    await self._row_limits.acquire(row, permit)
     place = Place(name='')
     try:
       prompt = plan.prepared.prompt if plan.prepared else 0
@@ -183,14 +204,14 @@
       raise
     finally:
       self.leave(place)
-      self._limits.release(row, permit)
+      self._row_limits.release(row, permit)
 
   async def enter(
     self, place: Place, found: program.Program, row: rows.Row, cost: float
   ) -> None:
-    """Returns once the call has a slot of the upstream that was chosen."""
-    left = max(0.1, found.started.deadline_at - time.time())
-    ask = messages.Acquire(
+    """Acquires a slot of the chosen upstream for the call, waiting for it."""
+    remaining = max(0.1, found.started.deadline_at - time.time())
+    message = messages.Acquire(
       holder=self._members.process_name,
       permit=secrets.token_hex(8),
       upstream=place.name,
@@ -198,38 +219,40 @@
       weight=row.weight,
       attained=found.spent * SECONDS_PER_TOKEN,
       cost=cost,
-      patience=min(left, self._config.timing.patience),
+      patience=min(remaining, self._config.timing.patience),
+    )
+    self._calls_by_upstream[place.name] = (
+      self._calls_by_upstream.get(place.name, 0) + 1
     )
-    self._count_by_name[place.name] = self._count_by_name.get(place.name, 0) + 1
-    place.ask = ask
+    place.acquire = message
     place.started_at = 0.0
     place.is_ok = True
     try:
-      await self._permits.acquire(ask)
+      await self._permits.acquire(message)
     except BaseException:
-      place.ask = None
-      self._count_by_name[place.name] -= 1
+      place.acquire = None
+      self._calls_by_upstream[place.name] -= 1
       raise
     place.started_at = time.monotonic()
 
   def leave(self, place: Place) -> None:
-    """Gives the upstream's permit back with what became of the call."""
-    ask, place.ask = place.ask, None
-    if ask is None:
+    """Releases the upstream's permit and reports the outcome of the call."""
+    message, place.acquire = place.acquire, None
+    if message is None:
       return
-    self._count_by_name[place.name] -= 1
+    self._calls_by_upstream[place.name] -= 1
     seconds = time.monotonic() - place.started_at if place.started_at else 0.0
     self._permits.release(
       messages.Release(
-        permit=ask.permit,
-        upstream=ask.upstream,
+        permit=message.permit,
+        upstream=message.upstream,
         seconds=seconds,
         is_ok=place.is_ok,
       )
     )
 
   def get_place(self, name: str, *, is_resumed: bool) -> Place:
-    """Returns the place of a call that was begun by an earlier owner."""
+    """Returns the place of a call that an earlier owner started."""
     return Place(name=name, is_resumed=is_resumed, started_at=time.monotonic())
 
   def get_domain(self, name: str) -> str:
@@ -237,5 +260,10 @@
     return self._permits.domain_by_name[name]
 
   def dump(self) -> dict[str, int]:
-    """Returns how many calls of this daemon hold or want each upstream."""
-    return {n: c for n, c in self._count_by_name.items() if c}
+    """Returns this daemon's calls by upstream, for debugging.
+
+    Both the calls that hold a permit and those that wait for one count.
+    """
+    return {
+      name: count for name, count in self._calls_by_upstream.items() if count
+    }
