--- a/src/woadrun/request/serving.py
+++ b/src/woadrun/request/serving.py
@@ -1,4 +1,4 @@
-"""Serves one request: finds its route, its history, and who runs it."""
+"""Handles requests: authorizes them, opens turns and relays replies."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 log = logging.getLogger('woadrun.serving')
 
-# Tells an answer in time from one a moment late, in seconds: what the way
-# back to the caller takes.
-ANSWER_MARGIN_SECONDS = 0.02
-NO_TABLE_SECONDS = 0.5
+# A request's deadline is brought forward by this time, which its response takes
+# to get back to the caller.
+RESPONSE_MARGIN_SECONDS = 0.02
+OPEN_RETRY_AFTER_SECONDS = 0.5
 
 
 class Serving:
-  """All requests of one daemon."""
+  """Handles all requests of one daemon."""
 
   def __init__(
     self,
@@ -47,38 +47,38 @@
     domain: str,
     counts: counters.Counters,
   ) -> None:
-    self._counts = counts
-    self._known = known
+    self._counters = counts
+    self._catalogue = known
     self._access = access
     self._limits = limits
-    self._send = send
+    self._attempts = send
     self._leave = leave
     self._domain = domain
-    self._closing: set[asyncio.Task[None]] = set()
+    self._close_tasks: set[asyncio.Task[None]] = set()
     self.active = 0
 
   @contextlib.asynccontextmanager
   async def answer(
     self, request: exchange.Request
   ) -> AsyncIterator[exchange.Answer]:
-    """Returns a context with the answer; leaving it ends all work for it.
+    """Returns a context with the response; leaving it ends all work for it.
 
-    Raises the error that stands for the answer where there is none.
+    Raises the error to report to the caller if there is no response.
     """
     self.active += 1
-    started = time.monotonic()
+    started_at = time.monotonic()
     kind, outcome, reason = 'unknown', 'broken_off', ''
     try:
-      await self._known.wait_known()
-      granted = await self._access.grant(request)
-      route = granted.route
+      await self._catalogue.wait_known()
+      grant = await self._access.grant(request)
+      route = grant.route
       kind = route.kind.value
       deadline = _get_deadline(request, route)
-      if request.turn is not None and _needs_leave(request.turn, route):
-        context = self._answer_turn(request, granted, request.turn, deadline)
+      if request.turn is not None and _needs_owner(request.turn, route):
+        response = self._handle_turn(request, grant, request.turn, deadline)
       else:
-        context = self._answer_plain(request, granted, deadline)
-      async with context as answer:
+        response = self._handle_plain_request(request, grant, deadline)
+      async with response as answer:
         yield answer
         outcome = f'{answer.status // 100}xx'
     except errors.WoadrunError as error:
@@ -87,29 +87,29 @@
       raise
     finally:
       self.active -= 1
-      self._counts.note_answer(kind, outcome, started)
+      self._counters.note_answer(kind, outcome, started_at)
       log.info(
         'Request %s: %s after %.0f ms%s.',
         request.id,
         outcome,
-        (time.monotonic() - started) * 1000,
+        (time.monotonic() - started_at) * 1000,
         reason,
         extra={**request.fields, 'kind': kind},
       )
 
-  # --- Plain calls ----------------------------------------------------------
+  # --- Plain requests -------------------------------------------------------
 
   @contextlib.asynccontextmanager
-  async def _answer_plain(
+  async def _handle_plain_request(
     self,
     request: exchange.Request,
-    granted: authorization.Grant,
+    grant: authorization.Grant,
     deadline: float,
   ) -> AsyncIterator[exchange.Answer]:
-    await self._limits.take(request, granted, deadline=deadline)
-    service = routes.choose_service(granted.route, random.random())
-    async with self._send.send(
-      request, granted, service=service, deadline=deadline
+    await self._limits.take(request, grant, deadline=deadline)
+    service = routes.choose_service(grant.route, random.random())
+    async with self._attempts.send(
+      request, grant, service=service, deadline=deadline
     ) as (reply, _):
       yield exchange.Answer(
         status=reply.status, headers=reply.headers, chunks=reply.chunks
@@ -118,94 +118,96 @@
   # --- Turns of programs ----------------------------------------------------
 
   @contextlib.asynccontextmanager
-  async def _answer_turn(
+  async def _handle_turn(
     self,
     request: exchange.Request,
-    granted: authorization.Grant,
+    grant: authorization.Grant,
     turn: exchange.TurnInfo,
     deadline: float,
   ) -> AsyncIterator[exchange.Answer]:
-    route = granted.route
-    # Programs and turns of other teams are as unknown as those that never were.
-    id = teams.scope(granted.team_name, request.id)
+    route = grant.route
+    # Ids are scoped by team, so that other teams' programs and turns look as if
+    # they had never existed.
+    id = teams.scope(grant.team_name, request.id)
     turn = dataclasses.replace(
       turn,
-      program=teams.scope(granted.team_name, turn.program),
-      parent=teams.scope(granted.team_name, turn.parent),
+      program=teams.scope(grant.team_name, turn.program),
+      parent=teams.scope(grant.team_name, turn.parent),
     )
-    taken_at = await self._limits.take(request, granted, deadline=deadline)
-    opened = await self._open(id, route, turn, deadline)
+    granted_at = await self._limits.take(request, grant, deadline=deadline)
+    opened = await self._open_turn(id, route, turn, deadline)
     running = _RunningTurn(
       request=request, id=id, turn=turn, route=route, opened=opened
     )
     try:
-      await self._limits.renew(taken_at, request, granted, deadline=deadline)
+      await self._limits.renew(granted_at, request, grant, deadline=deadline)
       service = routes.choose_service(route, random.random())
-      async with self._send.send(
+      async with self._attempts.send(
         request,
-        granted,
+        grant,
         service=service,
         deadline=deadline,
         body=opened.history + request.body,
-        cached_by_instance=_get_cached(opened, turn),
+        cached_by_instance=_get_cached_tokens(opened, turn),
       ) as (reply, instance):
         running.instance = instance
         yield exchange.Answer(
           status=reply.status,
           headers=reply.headers,
-          chunks=self._relay(running, reply),
+          chunks=self._relay_reply(running, reply),
         )
     finally:
       if not running.is_closed:
-        self._close_behind(running)
+        self._close_in_background(running)
 
-  async def _open(
+  async def _open_turn(
     self,
     id: str,
     route: routes.Route,
     turn: exchange.TurnInfo,
     deadline: float,
   ) -> turn_messages.OpenedTurn:
-    left = exchange.get_seconds_left(deadline)
+    remaining = exchange.get_seconds_left(deadline)
     try:
-      async with asyncio.timeout(left):
+      async with asyncio.timeout(remaining):
         return await self._leave.open(
           id, turn, keeps_history=route.keeps_history
         )
     except TimeoutError:
       raise errors.WoadrunError(
         errors.Code.OWNER_UNAVAILABLE,
-        'No leave to run the turn in time.',
-        retry_after=NO_TABLE_SECONDS,
+        'No owner of the program admitted the turn before its deadline.',
+        retry_after=OPEN_RETRY_AFTER_SECONDS,
       ) from None
 
-  async def _relay(
+  async def _relay_reply(
     self, running: _RunningTurn, reply: exchange.Reply
   ) -> AsyncGenerator[bytes]:
     async for chunk in reply.chunks:
       running.reader.feed(chunk)
       yield chunk
     if not 200 <= reply.status < 300 or not running.route.keeps_history:
-      # Nothing is kept for a later turn: the budget is settled behind.
+      # No later turn can continue from this one, so its end is reported and its
+      # budget settled in the background.
       return
-    # The caller may continue from the turn once its answer ends: the end
-    # is held back until the turn is kept.
-    done = self._make_end(running, is_whole=True)
-    await self._leave.close(done, home=running.opened.home or self._domain)
+    # The caller may continue from the turn as soon as its response ends, so the
+    # response does not end before the turn is durable.
+    message = self._make_close_message(running, is_complete=True)
+    await self._leave.close(message, home=running.opened.home or self._domain)
     running.is_closed = True
-    if done.turn is not None:
-      self._leave.note_kept(running.opened, done.turn)
+    if message.turn is not None:
+      self._leave.record_history(running.opened, message.turn)
     log.info(
       'Turn %s of %s is kept: %d events, %d tokens.',
       running.id,
       running.turn.program,
       running.reader.count,
-      done.tokens,
+      message.tokens,
       extra=running.request.fields,
     )
 
-  def _make_end(
-    self, running: _RunningTurn, *, is_whole: bool
+  def _make_close_message(
+    self, running: _RunningTurn, *, is_complete: bool
   ) -> turn_messages.CloseTurn:
     tokens = self._count_tokens(running)
     turn = running.turn
@@ -214,45 +216,50 @@
       request=running.id,
       tokens=tokens,
       instance=running.instance.life if running.instance else '',
-      parts=_add_output(turn.parts, tokens),
-      turn=_make_turn(running, tokens) if is_whole else None,
+      parts=_add_output_tokens(turn.parts, tokens),
+      turn=_make_turn(running, tokens) if is_complete else None,
     )
 
   def _count_tokens(self, running: _RunningTurn) -> int:
     if running.instance is None:
       return 0
-    table = self._known.table
+    table = self._catalogue.table
     service = (
       table.service_by_name.get(running.instance.service) if table else None
     )
-    each = service.tokens_per_event if service else running.turn.most
-    return min(running.turn.most, running.reader.count * each)
+    tokens_per_event = (
+      service.tokens_per_event if service else running.turn.most
+    )
+    return min(running.turn.most, running.reader.count * tokens_per_event)
 
-  def _close_behind(self, running: _RunningTurn) -> None:
-    done = self._make_end(running, is_whole=False)
+  def _close_in_background(self, running: _RunningTurn) -> None:
+    message = self._make_close_message(running, is_complete=False)
     home = running.opened.home or self._domain
-    task = asyncio.ensure_future(self._try_close(done, home))
-    self._closing.add(task)
-    task.add_done_callback(self._closing.discard)
+    task = asyncio.ensure_future(self._close_and_log_failure(message, home))
+    self._close_tasks.add(task)
+    task.add_done_callback(self._close_tasks.discard)
 
-  async def _try_close(self, done: turn_messages.CloseTurn, home: str) -> None:
+  async def _close_and_log_failure(
+    self, message: turn_messages.CloseTurn, home: str
+  ) -> None:
     try:
-      await self._leave.close(done, home=home)
+      await self._leave.close(message, home=home)
     except errors.WoadrunError as error:
-      # The budget then counts what was reserved: more than was given.
+      # The budget then counts the reserved tokens, which are more than the
+      # caller received.
       log.warning(
-        'Turn %s of %s stays reserved: %s',
-        done.request,
-        done.program,
+        'Turn %s of %s keeps its reservation, its end was not recorded: %s',
+        message.request,
+        message.program,
         error.message,
       )
 
 
 @dataclasses.dataclass(kw_only=True)
 class _RunningTurn:
-  """A turn from its leave to its end.
+  """A turn from its admission by the program's owner to its end.
 
-  `id` and the names in `turn` are those among the turns of all teams.
+  `id` and the ids in `turn` are scoped by team.
   """
 
   request: exchange.Request
@@ -268,7 +275,7 @@
 
 
 def _make_turn(running: _RunningTurn, tokens: int) -> turn_messages.Turn:
-  """Returns a whole turn as later turns continue from it."""
+  """Returns a completed turn in the form that later turns continue from."""
   return turn_messages.Turn(
     request=running.id,
     program=running.turn.program,
@@ -282,36 +289,42 @@
   )
 
 
-def _get_cached(
+def _get_cached_tokens(
   opened: turn_messages.OpenedTurn, turn: exchange.TurnInfo
 ) -> dict[str, int]:
-  """Returns what instances hold of a prompt, in tokens.
+  """Returns how many tokens of a prompt each instance has cached.
 
-  An owner that is new knows only who ran the turn before.
+  A new owner knows only the instance that ran the previous turn.
   """
   if opened.cached_by_instance or not opened.instance:
     return opened.cached_by_instance
   return {opened.instance: turn.prompt}
 
 
-def _add_output(
+def _add_output_tokens(
   parts: tuple[turn_messages.Part, ...], tokens: int
 ) -> tuple[turn_messages.Part, ...]:
-  """Returns the parts of a prompt, the last one with what was made."""
+  """Returns the parts of a prompt, with the output added to the last one."""
   if not parts:
     return ()
   last = turn_messages.Part(parts[-1].id, parts[-1].tokens + tokens)
   return (*parts[:-1], last)
 
 
-def _needs_leave(turn: exchange.TurnInfo, route: routes.Route) -> bool:
-  """Returns whether a turn has a history, or a budget that all share."""
-  is_bounded = turn.budget is not None and route.kind is routes.Kind.STREAM
-  return route.keeps_history or is_bounded
+def _needs_owner(turn: exchange.TurnInfo, route: routes.Route) -> bool:
+  """Returns whether the program's owner has to admit a turn.
+
+  That is so if the turn has a history or a budget shared by all its program's
+  turns.
+  """
+  has_shared_budget = (
+    turn.budget is not None and route.kind is routes.Kind.STREAM
+  )
+  return route.keeps_history or has_shared_budget
 
 
 def _get_deadline(request: exchange.Request, route: routes.Route) -> float:
-  limit = time.monotonic() + route.timeout
+  deadline = time.monotonic() + route.timeout
   if request.deadline is not None:
-    limit = min(limit, request.deadline)
-  return limit - ANSWER_MARGIN_SECONDS
+    deadline = min(deadline, request.deadline)
+  return deadline - RESPONSE_MARGIN_SECONDS
--- a/src/woadrun/request/turn_leave.py
+++ b/src/woadrun/request/turn_leave.py
@@ -1,7 +1,8 @@
-"""Asks the owner of a program for leave to run a turn, and tells its end.
+"""Opens and closes turns at the owners of their programs.
 
-The owner is a member of the program's home domain.  Members are asked in
-the order of their claim, until one knows the program.
+The owner of a program admits a turn before it runs and records its end.  It is
+a member of the program's home domain.  The members of that domain are asked in
+the order of their rank for the program, until one of them knows it.
 """
 
 from __future__ import annotations
@@ -29,20 +30,21 @@
 
 T = TypeVar('T')
 
-# Members of a domain that are asked about one program: owner, standby, and
-# who was one of them before the last change of members.
-MOST_ASKED = 3
-# Between looks whether a peer that was asked is still alive, in seconds.
-LOOK_SECONDS = 0.15
-# A peer that has not answered after so long is asked again on a new
-# connection, in seconds: the one before may have gone silent.  Each message
-# counts once however often it comes.
-AGAIN_SECONDS = 0.6
-# An owner waits for the store at most so long, in seconds; the way and its
-# standby come on top.
-ASK_SECONDS = 3.0
-# What another member may know although this one does not.
-UNSURE = (
+# Maximum number of members of a domain that are asked about one program: the
+# owner, the standby, and the member that was one of the two before the last
+# membership change.
+MAX_MEMBERS_ASKED = 3
+# Interval of the checks whether a peer that has not answered is still alive.
+LIVENESS_CHECK_INTERVAL_SECONDS = 0.15
+# A message without an answer is sent again on a new connection after this
+# delay, because the first connection may no longer pass any data.  Messages are
+# idempotent, so sending one twice is safe.
+RESEND_DELAY_SECONDS = 0.6
+# Timeout of a message to an owner.  It covers the longest time that an owner
+# waits for the row store, the network round trip and the owner's standby.
+POST_TIMEOUT_SECONDS = 3.0
+# Errors of one member that another member may still resolve.
+INCONCLUSIVE_CODES = (
   errors.Code.NOT_OWNER,
   errors.Code.OWNER_UNAVAILABLE,
   errors.Code.UNKNOWN_PROGRAM,
@@ -50,10 +52,10 @@
 
 
 class TurnLeave:
-  """The way from a daemon to the owners of programs.
+  """Client of the owners of programs, which admit turns.
 
-  `get_outage` tells for how long a part of the system has been out of
-  reach, in seconds.
+  `get_outage` returns for how many seconds a part of the system has been
+  unreachable.
   """
 
   def __init__(
@@ -66,13 +68,13 @@
     get_outage: Callable[[], float],
   ) -> None:
     self._members = members
-    self._local = local
-    self._links = links
-    self._turns = turns
+    self._local_programs = local
+    self._peers = links
+    self._turn_store = turns
     self._get_outage = get_outage
-    self._lines = recent_lines.RecentLines()
+    self._recent_lines = recent_lines.RecentLines()
 
-  # --- Before a turn --------------------------------------------------------
+  # --- Opening a turn -------------------------------------------------------
 
   async def open(
     self,
@@ -81,13 +83,13 @@
     *,
     keeps_history: bool = True,
   ) -> turn_messages.OpenedTurn:
-    """Returns the history of a turn, if any, once its tokens are reserved.
+    """Reserves the tokens of a turn and returns its history, if it has one.
 
-    `id` is the turn's among those of all teams, as are the names in `turn`.
+    `id` and the ids in `turn` are scoped by team.
     """
     parent = turn.parent if keeps_history else ''
-    known = self._lines.get(parent)
-    ask = turn_messages.OpenTurn(
+    known = self._recent_lines.get(parent)
+    message = turn_messages.OpenTurn(
       program=turn.program,
       request=id,
       parent=parent,
@@ -97,7 +99,7 @@
       keeps_history=keeps_history,
       parts=turn.parts,
     )
-    opened = await self._open(ask)
+    opened = await self._open(message)
     if known is None:
       return opened
     return msgspec.structs.replace(
@@ -105,203 +107,234 @@
     )
 
   async def _open(
-    self, ask: turn_messages.OpenTurn
+    self, message: turn_messages.OpenTurn
   ) -> turn_messages.OpenedTurn:
-    mine = self._members.me.domain
+    own_domain = self._members.me.domain
     try:
-      opened = await self._open_in(mine, ask)
+      opened = await self._open_in(own_domain, message)
     except errors.WoadrunError as error:
-      if error.code not in UNSURE:
+      if error.code not in INCONCLUSIVE_CODES:
         raise
-      if self._is_certain(error):
-        raise self._refuse(error) from error
-      return await self._open_anywhere(ask, error)
+      if self._is_conclusive(error):
+        raise self._make_refusal(error) from error
+      return await self._open_in_other_domains(message, error)
     if not opened.home:
       return opened
-    return await self._open_at_home(ask, opened)
+    return await self._open_at_home(message, opened)
 
   async def _open_at_home(
-    self, ask: turn_messages.OpenTurn, opened: turn_messages.OpenedTurn
+    self, message: turn_messages.OpenTurn, opened: turn_messages.OpenedTurn
   ) -> turn_messages.OpenedTurn:
-    """Returns leave of the home that `opened` names, or of this domain."""
-    mine = self._members.me.domain
+    """Opens a turn at the home domain that `opened` names.
+
+    If that domain is unreachable, opens the turn in this domain.
+    """
+    own_domain = self._members.me.domain
     try:
-      # A history that a copy here has need not come from the other domain.
-      is_brief = ask.is_brief or opened.has_history
-      brief = msgspec.structs.replace(ask, is_brief=is_brief)
-      granted = await self._open_in(opened.home, brief)
+      # The home domain need not send a history that this domain already has.
+      is_brief = message.is_brief or opened.has_history
+      message_to_home = msgspec.structs.replace(message, is_brief=is_brief)
+      granted = await self._open_in(opened.home, message_to_home)
       if not granted.home:
-        found = opened if opened.has_history else granted
+        history = opened if opened.has_history else granted
         return msgspec.structs.replace(
-          found,
+          history,
           home=opened.home,
           cached_by_instance=granted.cached_by_instance,
         )
-      # Both began it while one was cut off: an answer that only names a home
-      # has no history.  The store decides on what each reserves.
+      # Both domains started the program during a network partition.  An answer
+      # that only names a home domain has no history.  The row store arbitrates
+      # between the reservations of the two.
       log.warning(
-        'Program %s: %s names %s as its home, which names %s.',
-        ask.program,
-        mine,
+        'Program %s: domain %s names %s as its home, which names %s.',
+        message.program,
+        own_domain,
         opened.home,
         granted.home,
       )
     except errors.WoadrunError as error:
-      if error.code not in UNSURE:
+      if error.code not in INCONCLUSIVE_CODES:
         raise
       log.info(
-        'Turn %s: the home %s of %s is out of reach: %s',
-        ask.request,
+        'Turn %s: home domain %s of program %s is unreachable: %s',
+        message.request,
         opened.home,
-        ask.program,
+        message.program,
         error.message,
       )
     try:
-      # It has a home: where the store has no row yet, it is not new for that.
+      # The program has a home domain, so it must not be created here, even if
+      # the row store has no row of it yet.
       return await self._open_in(
-        mine, msgspec.structs.replace(ask, is_away=True, begins=False)
+        own_domain, msgspec.structs.replace(message, is_away=True, begins=False)
       )
     except errors.WoadrunError as error:
-      raise self._refuse(error) from error
+      raise self._make_refusal(error) from error
 
   async def _open_in(
-    self, domain: str, ask: turn_messages.OpenTurn
+    self, domain: str, message: turn_messages.OpenTurn
   ) -> turn_messages.OpenedTurn:
-    asked = self._members.rank(ask.program, domain)[:MOST_ASKED]
+    members = self._members.rank(message.program, domain)[:MAX_MEMBERS_ASKED]
     failure: errors.WoadrunError | None = None
-    for member in asked:
+    for member in members:
       try:
-        return await self._open_at(member, ask)
+        return await self._open_at(member, message)
       except errors.WoadrunError as error:
-        if error.code not in UNSURE or self._is_certain(error):
+        if error.code not in INCONCLUSIVE_CODES or self._is_conclusive(error):
           raise
         if error.code is errors.Code.OWNER_UNAVAILABLE and not isinstance(
           error, peers.NoAnswer
         ):
-          # This one knows the program: the next must not begin it anew.
-          ask = msgspec.structs.replace(ask, begins=False)
-        # That a turn is not found says more than that nobody knows.
+          # This member knows the program, so the next one must not create it.
+          message = msgspec.structs.replace(message, begins=False)
+        # That a turn was not found is more specific than the other errors.
         if failure is None or failure.code is not errors.Code.UNKNOWN_PROGRAM:
           failure = error
     raise failure or errors.WoadrunError(
       errors.Code.OWNER_UNAVAILABLE, f'No member of {domain} is alive.'
     )
 
-  def _is_certain(self, error: errors.WoadrunError) -> bool:
-    # Asking all members for a turn that the store does not have, and that
-    # none of them keeps without it, cost a quarter of all reads on a calm day.
+  def _is_conclusive(self, error: errors.WoadrunError) -> bool:
+    # The row store lacks the turn, and while the fleet is settled no member has
+    # turns that the store lacks.  Asking all members for such turns cost a
+    # quarter of all reads in normal operation.
     is_missing = error.code is errors.Code.UNKNOWN_PROGRAM
     return is_missing and self._members.is_settled
 
-  async def _open_anywhere(
-    self, ask: turn_messages.OpenTurn, failure: errors.WoadrunError
+  async def _open_in_other_domains(
+    self, message: turn_messages.OpenTurn, failure: errors.WoadrunError
   ) -> turn_messages.OpenedTurn:
-    # Without the store only the home domain itself knows what is its own.
-    mine = self._members.me.domain
-    others = sorted(self._members.domains - {mine})
-    # A domain that has not noticed yet that the store is out took a program for
-    # its own that has its callers here.
-    known = msgspec.structs.replace(ask, begins=False)
+    # Without the row store only the home domain of a program knows that it is
+    # the home domain.
+    own_domain = self._members.me.domain
+    others = sorted(self._members.domains - {own_domain})
+    # The other domains must not create the program: a domain that had not yet
+    # noticed the outage of the store became home of a program whose callers are
+    # in this domain.
+    without_create = msgspec.structs.replace(message, begins=False)
     results = await asyncio.gather(
-      *(self._open_in(domain, known) for domain in others),
+      *(self._open_in(domain, without_create) for domain in others),
       return_exceptions=True,
     )
     for domain, result in zip(others, results, strict=True):
       if isinstance(result, turn_messages.OpenedTurn) and not result.home:
         return msgspec.structs.replace(result, home=domain)
     for result in results:
-      if isinstance(result, errors.WoadrunError) and result.code not in UNSURE:
+      if (
+        isinstance(result, errors.WoadrunError)
+        and result.code not in INCONCLUSIVE_CODES
+      ):
         raise result
-    owners = self._members.rank(ask.program, mine)
-    if owners and not ask.parent and failure.code is errors.Code.NOT_OWNER:
-      begun = await self._open_at(owners[0], ask, is_new=True)
-      # The store may have told meanwhile whose it is: turns ran that no domain
-      # had counted.
-      return await self._open_at_home(ask, begun) if begun.home else begun
-    raise self._refuse(failure)
+    owners = self._members.rank(message.program, own_domain)
+    if owners and not message.parent and failure.code is errors.Code.NOT_OWNER:
+      opened = await self._open_at(owners[0], message, is_new=True)
+      # The store may be back by now and have named another domain as the home.
+      # Such an answer reserves nothing: no domain counted the turns that ran on
+      # it.
+      return (
+        await self._open_at_home(message, opened) if opened.home else opened
+      )
+    raise self._make_refusal(failure)
 
   async def _open_at(
     self,
     member: beats.Member,
-    ask: turn_messages.OpenTurn,
+    message: turn_messages.OpenTurn,
     *,
     is_new: bool = False,
   ) -> turn_messages.OpenedTurn:
     if member.name == self._members.me.name:
-      return await self._local.open(ask, is_new=is_new)
+      return await self._local_programs.open(message, is_new=is_new)
     path = 'program/open-new' if is_new else 'program/open'
-    return await self._post(member, path, ask, turn_messages.OpenedTurn)
+    return await self._post_with_resend(
+      member, path, message, turn_messages.OpenedTurn
+    )
 
-  def _refuse(self, failure: errors.WoadrunError) -> errors.WoadrunError:
-    if failure.code not in UNSURE:
+  def _make_refusal(self, failure: errors.WoadrunError) -> errors.WoadrunError:
+    if failure.code not in INCONCLUSIVE_CODES:
       return failure
-    # Nothing was sent to an upstream: it has not run.  That a turn is not
-    # found is not certain either: a member that is silent may have it.
+    # The turn has not run, because nothing was sent to an upstream.  A missing
+    # turn is reported as unavailable rather than as unknown, because a member
+    # that does not answer may have it.
     return errors.WoadrunError(
       errors.Code.OWNER_UNAVAILABLE,
-      f'No member can tell: {failure.message}',
+      f'No reachable member can admit the turn: {failure.message}',
       retry_after=retry_after.estimate_outage(self._get_outage()),
     )
 
-  # --- After a turn ---------------------------------------------------------
+  # --- Closing a turn -------------------------------------------------------
 
-  def note_kept(
+  def record_history(
     self, opened: turn_messages.OpenedTurn, turn: turn_messages.Turn
   ) -> None:
-    """Takes note of a turn that is kept, for the one that follows it."""
-    self._lines.note(opened, turn)
+    """Records the history of a durable turn for the turn that follows it."""
+    self._recent_lines.note(opened, turn)
 
-  async def close(self, done: turn_messages.CloseTurn, *, home: str) -> None:
-    """Keeps a turn: returns once no loss of all daemons can lose it.
+  async def close(self, message: turn_messages.CloseTurn, *, home: str) -> None:
+    """Records the end of a turn; returns once a completed turn is durable.
 
-    Without the store, two members of the home domain are enough.  Raises
-    where nobody keeps it.
+    A turn is durable once it is in the row store, so that it survives the loss
+    of all daemons.  Without the store, replication to two members of the home
+    domain suffices.  Raises if neither the store nor any member recorded it.
     """
-    if done.turn is None:
-      await self._close_in(home, done)
+    if message.turn is None:
+      await self._close_in(home, message)
       return
-    stored, told = await asyncio.gather(
-      self._turns.write(done.turn),
-      self._close_in(home, done),
+    store_result, close_result = await asyncio.gather(
+      self._turn_store.write(message.turn),
+      self._close_in(home, message),
       return_exceptions=True,
     )
-    for failure in (stored, told):
+    for failure in (store_result, close_result):
       if failure is None:
         continue
       if not isinstance(failure, errors.WoadrunError):
         raise failure
-      log.info('End of turn %s: %s', done.request, failure.message)
-    if stored is not None:
-      await self._close_without_store(done, home)
+      log.info(
+        'End of turn %s was not fully recorded: %s',
+        message.request,
+        failure.message,
+      )
+    if store_result is not None:
+      await self._close_without_store(message, home)
 
   async def _close_without_store(
-    self, done: turn_messages.CloseTurn, home: str
+    self, message: turn_messages.CloseTurn, home: str
   ) -> None:
-    unsaved = msgspec.structs.replace(done, is_saved=False)
+    unsaved = msgspec.structs.replace(message, is_saved=False)
     try:
       await self._close_in(home, unsaved)
     except errors.WoadrunError as error:
-      # This domain is cut off from store and home.  The turn is kept by its
-      # own owner here and by this daemon, until the store is back.
+      # This domain is cut off from the store and from the home domain.  Until
+      # the store is back, the turn is held by this daemon and by the program's
+      # owner in this domain.
       log.warning(
-        'Turn %s of %s is kept away from its home %s: %s',
-        done.request,
-        done.program,
+        'Turn %s of %s is held outside its home domain %s: %s',
+        message.request,
+        message.program,
         home,
         error.message,
       )
-      self._local.keep(unsaved)
-      mine = self._members.me.domain
-      await self._close_in(mine, msgspec.structs.replace(unsaved, is_away=True))
+      self._local_programs.keep(unsaved)
+      own_domain = self._members.me.domain
+      await self._close_in(
+        own_domain, msgspec.structs.replace(unsaved, is_away=True)
+      )
 
-  async def _close_in(self, domain: str, done: turn_messages.CloseTurn) -> None:
+  async def _close_in(
+    self, domain: str, message: turn_messages.CloseTurn
+  ) -> None:
     failure: errors.WoadrunError | None = None
-    for member in self._members.rank(done.program, domain)[:MOST_ASKED]:
+    for member in self._members.rank(message.program, domain)[
+      :MAX_MEMBERS_ASKED
+    ]:
       try:
         if member.name == self._members.me.name:
-          await self._local.close(done)
+          await self._local_programs.close(message)
         else:
-          await self._post(member, 'program/close', done, turn_messages.Closed)
+          await self._post_with_resend(
+            member, 'program/close', message, turn_messages.Closed
+          )
         return
       except errors.WoadrunError as error:
         failure = error
@@ -309,17 +342,17 @@
       errors.Code.OWNER_UNAVAILABLE, f'No member of {domain} is alive.'
     )
 
-  # --- Asking peers ---------------------------------------------------------
+  # --- Messages to peers ----------------------------------------------------
 
-  async def _post(
+  async def _post_with_resend(
     self, member: beats.Member, path: str, message: object, type: type[T]
   ) -> T:
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     def post() -> asyncio.Task[T]:
       return asyncio.ensure_future(
-        self._links.post(
-          member.address, path, message, type=type, timeout=ASK_SECONDS
+        self._peers.post(
+          member.address, path, message, type=type, timeout=POST_TIMEOUT_SECONDS
         )
       )
 
@@ -327,22 +360,29 @@
     try:
       while True:
         await asyncio.wait(
-          tasks, timeout=LOOK_SECONDS, return_when=asyncio.FIRST_COMPLETED
+          tasks,
+          timeout=LIVENESS_CHECK_INTERVAL_SECONDS,
+          return_when=asyncio.FIRST_COMPLETED,
         )
         for task in tasks:
           if task.done():
             return task.result()
         if not self._members.is_alive(member.name):
           raise peers.NoAnswer(
-            errors.Code.OWNER_UNAVAILABLE, f'{member.name} is silent.'
+            errors.Code.OWNER_UNAVAILABLE,
+            f'{member.name} is not considered alive.',
           )
-        if len(tasks) == 1 and time.monotonic() - began > AGAIN_SECONDS:
-          self._links.note_silence(member.address)
+        if (
+          len(tasks) == 1
+          and time.monotonic() - started_at > RESEND_DELAY_SECONDS
+        ):
+          self._peers.note_silence(member.address)
           tasks.append(post())
     except peers.NoAnswer:
-      # A peer that refuses is well.  Counted as lost, the owners of programs
-      # whose part of a budget was spent were left aside in a cut, until their
-      # daemons took themselves for isolated and refused all.
+      # Only a peer that does not answer counts as failed; one that refuses is
+      # healthy.  When refusals counted as well, owners whose share of a budget
+      # was spent were avoided during a partition, until daemons considered
+      # themselves isolated and refused all requests.
       self._members.note_failure(member.name)
       raise
     finally:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Kept connections that go silent for good, while new ones work."""
+"""Tests for pooled connections that stop passing data while new ones work."""
 
 import asyncio
 import contextlib
@@ -23,47 +23,54 @@
 from woadrun.version import instances
 
 
-class Proxy:
-  """Passes bytes on; connections that are open when it is told swallow."""
+class BlackholeProxy:
+  """A TCP proxy that can drop all data of the connections open at a time.
+
+  `blackhole` makes all connections that are open drop their data from then on.
+  They stay open, and new connections work.
+  """
 
   def __init__(self, target):
     self.target = target
-    self.silenced = set()
-    self.open = set()
+    self.blackholed = set()
+    self.connections = set()
 
   async def serve(self, reader, writer):
-    back, out = await asyncio.open_connection('127.0.0.1', self.target)
-    me = object()
-    self.open.add(me)
+    upstream_reader, upstream_writer = await asyncio.open_connection(
+      '127.0.0.1', self.target
+    )
+    connection = object()
+    self.connections.add(connection)
     with contextlib.suppress(ConnectionError):
       await asyncio.gather(
-        self._pump(me, reader, out), self._pump(me, back, writer)
+        self._pump(connection, reader, upstream_writer),
+        self._pump(connection, upstream_reader, writer),
       )
-    for end in (out, writer):
+    for end in (upstream_writer, writer):
       end.close()
 
-  async def _pump(self, me, reader, writer):
+  async def _pump(self, connection, reader, writer):
     while data := await reader.read(4096):
-      if me not in self.silenced:
+      if connection not in self.blackholed:
         writer.write(data)
 
-  def silence(self):
-    self.silenced |= self.open
+  def blackhole(self):
+    self.blackholed |= self.connections
 
 
 @contextlib.asynccontextmanager
-async def make_way(answer):
-  """Yields a proxy before a server, its port, and a session."""
+async def run_server_behind_proxy(answer):
+  """Yields a proxy in front of a server, its address, and a session."""
   runner = web.ServerRunner(web.Server(answer), shutdown_timeout=0.1)
   await runner.setup()
   target = nodes.find_port()
   await web.TCPSite(runner, '127.0.0.1', target).start()
-  proxy = Proxy(target)
+  proxy = BlackholeProxy(target)
   server = await asyncio.start_server(proxy.serve, '127.0.0.1', 0)
   port = server.sockets[0].getsockname()[1]
   connector = fresh.make_connector(limit=10, keepalive=30.0)
   async with aiohttp.ClientSession(connector=connector) as session:
-    # Several connections are kept.
+    # The session keeps several connections alive.
     yield proxy, f'127.0.0.1:{port}', session
   server.close()
   await runner.cleanup()
@@ -76,8 +83,12 @@
   return web.Response(body=body, headers={'Request-Id': 'r'})
 
 
-async def test_one_silence_of_a_peer_leaves_all_its_connections():
-  async with make_way(answer_slowly) as (proxy, address, session):
+async def test_timeout_of_a_peer_abandons_all_its_connections():
+  async with run_server_behind_proxy(answer_slowly) as (
+    proxy,
+    address,
+    session,
+  ):
     links = peers.Peers(
       session=session,
       key='',
@@ -95,33 +106,37 @@
       )
 
     await asyncio.gather(*(post() for _ in range(3)))
-    proxy.silence()
+    proxy.blackhole()
     with pytest.raises(errors.WoadrunError):
       await post()
     await asyncio.gather(*(post(5.0) for _ in range(3)))
 
 
-async def test_one_silence_of_the_store_leaves_all_its_connections():
+async def test_timeout_of_the_store_abandons_all_its_connections():
   async def answer(request):
     await answer_slowly(request)
     return web.json_response({'rows': [], 'ver': 1})
 
-  async with make_way(answer) as (proxy, address, session):
-    kept = store.Store(
+  async with run_server_behind_proxy(answer) as (proxy, address, session):
+    row_store = store.Store(
       session=session,
       address=address,
       timeout=0.4,
       addresses=fresh.Addresses(),
     )
-    await asyncio.gather(*(kept.read('t', '') for _ in range(3)))
-    proxy.silence()
+    await asyncio.gather(*(row_store.read('t', '') for _ in range(3)))
+    proxy.blackhole()
     with pytest.raises(errors.WoadrunError):
-      await kept.read('t', '')
-    await kept.read('t', '')
+      await row_store.read('t', '')
+    await row_store.read('t', '')
 
 
-async def test_one_silence_of_an_instance_leaves_all_its_connections():
-  async with make_way(answer_slowly) as (proxy, address, session):
+async def test_timeout_of_an_instance_abandons_all_its_connections():
+  async with run_server_behind_proxy(answer_slowly) as (
+    proxy,
+    address,
+    session,
+  ):
     found = upstream.HttpUpstreams(session=session, addresses=fresh.Addresses())
     instance = instances.Instance(
       id='i', service='s', address=address, domain='d', born=1000
@@ -138,16 +153,16 @@
         return [chunk async for chunk in reply.chunks]
 
     await asyncio.gather(*(send() for _ in range(3)))
-    proxy.silence()
+    proxy.blackhole()
     with pytest.raises(TimeoutError):
-      # The caller gives up.
+      # The caller times out.
       async with asyncio.timeout(upstream.SILENT_SECONDS + 0.1):
         await send()
     async with asyncio.timeout(5):
       await asyncio.gather(*(send() for _ in range(3)))
 
 
-async def test_an_owner_behind_a_silent_connection_is_asked_again():
+async def test_message_to_owner_is_resent_when_a_connection_passes_no_data():
   class Links:
     asked = 0
     silent = ()
@@ -176,13 +191,13 @@
     get_outage=lambda: 0.0,
   )
   request = nodes.make_request('r', path='/chat/')
-  async with asyncio.timeout(turn_leave.ASK_SECONDS - 0.5):
+  async with asyncio.timeout(turn_leave.POST_TIMEOUT_SECONDS - 0.5):
     opened = await leave.open(request, exchange.TurnInfo(program='p'))
   assert opened.instance == 'found'
   assert links.silent == (owner.address,)
 
 
-def test_sockets_notice_silence_by_themselves():
+def test_sockets_detect_dead_connections():
   info = (socket.AF_INET, socket.SOCK_STREAM, 0, '', ())
   with fresh.make_socket(info) as made:
     assert made.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
@@ -191,15 +206,19 @@
 
 
 @pytest.mark.parametrize(
-  ('error', 'is_left'),
+  ('error', 'is_failed'),
   [(errors.WoadrunError, False), (peers.NoAnswer, True)],
 )
-async def test_only_a_peer_that_gives_no_answer_is_left_aside(error, is_left):
+async def test_only_a_peer_that_does_not_answer_counts_as_failed(
+  error, is_failed
+):
   class Links:
     async def post(self, *_, **__):
-      raise error(errors.Code.OWNER_UNAVAILABLE, 'Its part is spent.')
+      raise error(
+        errors.Code.OWNER_UNAVAILABLE, 'The share of the budget is spent.'
+      )
 
-  left = []
+  failed = []
   owner = beats.Member(name='n2', address='127.0.0.1:7', domain='north')
   members = types.SimpleNamespace(
     me=beats.Member(name='n1', address='127.0.0.1:6', domain='north'),
@@ -208,7 +227,7 @@
     rank=lambda program, domain: [owner],
     is_alive=lambda name: True,
     is_settled=False,
-    note_failure=left.append,
+    note_failure=failed.append,
   )
   leave = turn_leave.TurnLeave(
     members=members,
@@ -220,4 +239,4 @@
   request = nodes.make_request('r', path='/chat/')
   with pytest.raises(errors.WoadrunError):
     await leave.open(request, exchange.TurnInfo(program='p'))
-  assert left == (['n2'] if is_left else [])
+  assert failed == (['n2'] if is_failed else [])
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Turns of programs: history, budget, and what outlasts which loss."""
+"""Tests for turns of programs: history, budget, and survival of failures."""
 
 import asyncio
 import time
@@ -12,17 +12,17 @@
 from woadrun.request import exchange
 from woadrun.request import recent_lines
 
-# The tables of what lasts for a while only.
-KEPT_TABLES = ('turns', 'programs')
+# The tables whose rows expire.
+EXPIRING_TABLES = ('turns', 'programs')
 
 
-def owner_of(fleet, program, domain='north'):
+def get_owner_and_standby(fleet, program, domain='north'):
   """Returns the names of a program's owner and standby."""
-  some = next(iter(fleet.by_name.values()))
-  return [m.name for m in some.fleet.rank(program, domain)[:2]]
+  daemon = next(iter(fleet.by_name.values()))
+  return [m.name for m in daemon.fleet.rank(program, domain)[:2]]
 
 
-async def test_a_turn_gets_its_line_and_nothing_else():
+async def test_turn_receives_only_the_history_of_its_line():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
@@ -33,7 +33,7 @@
     assert fleet.get_body('d') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<d>'
 
 
-async def test_another_program_continues_after_all_daemons_were_lost():
+async def test_turn_continues_another_program_after_loss_of_all_daemons():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     await fleet.turn('n1', 'a')
@@ -45,7 +45,7 @@
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
 
 
-async def test_a_turn_larger_than_a_row_is_kept_whole():
+async def test_turn_larger_than_a_row_is_stored_completely():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.engines.events = 500
@@ -56,7 +56,7 @@
     assert fleet.get_body('b').count(b'\n') == body.count(b'data:') == 500
 
 
-async def test_an_unknown_turn_is_refused_and_not_run():
+async def test_turn_with_unknown_parent_is_refused_and_not_run():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     with pytest.raises(errors.WoadrunError) as caught:
@@ -66,7 +66,7 @@
     assert fleet.engines.sent == []
 
 
-async def test_the_budget_holds_through_all_daemons_at_once():
+async def test_budget_is_not_exceeded_by_concurrent_turns_on_all_daemons():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     names = ['n1', 'n2', 's1'] * 4
@@ -77,15 +77,15 @@
       ),
       return_exceptions=True,
     )
-    # Each turn is given 6 tokens of the 10 set aside for it.
-    given = sum(6 for result in results if isinstance(result, tuple))
-    assert 0 < given <= 30
+    # Each turn uses 6 tokens of the 10 reserved for it.
+    used_tokens = sum(6 for result in results if isinstance(result, tuple))
+    assert 0 < used_tokens <= 30
     for result in results:
       if isinstance(result, errors.WoadrunError):
         assert result.ran is errors.Ran.NOT_RUN
 
 
-async def test_a_spent_budget_is_said_so_after_a_loss_of_all_daemons():
+async def test_budget_exceeded_is_reported_after_loss_of_all_daemons():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     for id in ('a', 'b'):
@@ -97,7 +97,7 @@
     assert caught.value.status == 402
 
 
-async def test_programs_go_on_while_the_store_is_out_and_it_learns_of_it():
+async def test_programs_continue_in_a_store_outage_and_are_flushed_after_it():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     await fleet.turn('n1', 'a')
@@ -127,7 +127,7 @@
     assert spent == 4 * 6
 
 
-async def test_a_turn_outlasts_all_daemons_of_its_domain_in_an_outage():
+async def test_turn_survives_loss_of_all_daemons_of_its_domain_in_an_outage():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
@@ -145,39 +145,39 @@
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
 
 
-async def test_the_standby_goes_on_when_the_owner_dies_in_an_outage():
+async def test_standby_takes_over_when_the_owner_fails_in_an_outage():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 'n3')
     await fleet.turn('n1', 'a')
     fleet.shared.is_out = True
     await fleet.turn('n1', 'b', parent='a')
-    owner, standby = owner_of(fleet, 'p')
+    owner, standby = get_owner_and_standby(fleet, 'p')
     await fleet.stop(owner)
     await fleet.turn(standby, 'c', parent='b')
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
 
 
-async def spend_all(fleet, name, prefix):
-  """Returns how many turns of a budget of 86 run before one is refused."""
+async def count_admitted_turns(fleet, name, prefix):
+  """Returns how many turns run on a budget of 86 before one is refused."""
   for number in range(20):
     try:
       await fleet.turn(name, f'{prefix}{number}', most=10, budget=86)
     except errors.WoadrunError as error:
       assert error.ran is errors.Ran.NOT_RUN
       return number
-  raise AssertionError('Nothing was refused.')
+  raise AssertionError('No turn was refused within 20 turns.')
 
 
-async def test_the_whole_budget_may_be_spent_in_an_outage_while_all_are_heard():
+async def test_whole_budget_is_available_in_an_outage_without_partition():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a', most=10, budget=86)
     fleet.shared.is_out = True
-    done = await spend_all(fleet, 'n1', 'b')
-    assert 86 - 10 < 6 + done * 6 <= 86
+    admitted = await count_admitted_turns(fleet, 'n1', 'b')
+    assert 86 - 10 < 6 + admitted * 6 <= 86
 
 
-async def test_half_of_the_budget_is_left_to_a_domain_out_of_sight():
+async def test_half_of_the_budget_is_reserved_for_an_unreachable_domain():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a', most=10, budget=86)
@@ -186,12 +186,12 @@
     await fleet.stop('s1')
     north = [fleet.by_name['n1'], fleet.by_name['n2']]
     await nodes.wait_until(lambda: all(n.fleet.find_silent() for n in north))
-    done = await spend_all(fleet, 'n1', 'c')
-    # Half of what was left as the domain went out of sight.
-    assert 0 < done * 6 <= (86 - 12) / 2
+    admitted = await count_admitted_turns(fleet, 'n1', 'c')
+    # Half of the budget that was left when the domain became unreachable.
+    assert 0 < admitted * 6 <= (86 - 12) / 2
 
 
-async def test_a_daemon_that_the_store_turns_away_goes_through_a_peer():
+async def test_daemon_refused_by_the_store_uses_a_peer_as_proxy():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     fleet.view_by_name['s1'].is_cut = True
@@ -201,7 +201,7 @@
     assert not fleet.by_name['s1'].programs.unsaved
 
 
-async def test_an_answer_of_the_store_that_is_lost_does_not_count_twice():
+async def test_lost_store_response_does_not_count_tokens_twice():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     await fleet.turn('n1', 'a', most=10, budget=100)
@@ -213,7 +213,7 @@
     assert entry.ledger.spent == 18
 
 
-async def test_a_torn_stream_is_no_turn_and_costs_what_was_given():
+async def test_aborted_stream_is_not_a_turn_and_costs_the_tokens_sent():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.engines.faults.append(nodes.make_torn_reply())
@@ -225,14 +225,15 @@
     await nodes.wait_until(lambda: entry.ledger.spent == 3)
 
 
-async def test_a_domain_cut_off_delivers_what_runs_and_the_store_gets_it():
+async def test_isolated_domain_completes_running_turn_and_flushes_it_later():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a')
     south = fleet.by_name['s1']
     task = asyncio.ensure_future(fleet.turn('s1', 'b', parent='a'))
     await nodes.wait_until(lambda: fleet.get_body('b'))
-    # The cut: no word to the other domain, none to the store.
+    # A network partition: the domain reaches neither the other domain nor the
+    # store.
     fleet.view_by_name['s1'].is_cut = True
     south.store.is_direct = False
     south.fleet.member_by_name.pop('n1')
@@ -245,7 +246,7 @@
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
 
 
-async def test_a_turn_of_an_outage_is_stored_by_one_of_those_that_keep_it():
+async def test_turn_of_an_outage_is_written_to_the_store_by_one_holder_only():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     fleet.shared.is_out = True
@@ -260,13 +261,13 @@
     fleet.shared.is_out = False
     await nodes.wait_until(lambda: not any(kept))
     stored = [name for name in fleet.get_written() if name in names]
-    # The programs have the names of their turns.
+    # Each program has the same name as its only turn.
     rows = fleet.find_calls('turns')
   assert set(stored) == set(names)
   assert rows == [('change', 'turns')] * len(names)
 
 
-async def test_a_turn_is_stored_by_another_one_where_the_first_forgot_it():
+async def test_turn_is_written_by_another_holder_when_the_first_lost_it():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     fleet.shared.is_out = True
@@ -274,18 +275,18 @@
     first = fleet.by_name['n1'].fleet.rank('p', 'north')[0].name
     second = fleet.by_name['n2' if first == 'n1' else 'n1'].programs
     await nodes.wait_until(lambda: 'a' in second.unsaved)
-    # It started again meanwhile.
-    forgetful = fleet.by_name[first].programs
-    forgetful.unsaved.drop('a')
-    forgetful.cache._turn_by_request.clear()
-    forgetful.cache._until_by_request.clear()
+    # The state of a daemon that was restarted in between.
+    first_programs = fleet.by_name[first].programs
+    first_programs.unsaved.drop('a')
+    first_programs.cache._turn_by_request.clear()
+    first_programs.cache._until_by_request.clear()
     fleet.clear_calls()
     fleet.shared.is_out = False
     await nodes.wait_until(lambda: not second.unsaved)
     assert fleet.get_written().count('a') == 1
 
 
-async def test_a_store_that_is_silent_holds_up_the_first_turn_only():
+async def test_unresponsive_store_delays_the_first_turn_only():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     await fleet.turn('n1', 'a')
@@ -310,14 +311,14 @@
     assert fleet.get_body('c').endswith(b'<c>')
 
 
-async def test_other_domains_find_the_home_while_the_store_is_out():
+async def test_other_domains_find_the_home_domain_in_a_store_outage():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
     fleet.shared.is_out = True
     await fleet.turn('s1', 'b', parent='a')
     assert fleet.get_body('b') == b'<a>a-0\na-1\n<b>'
-    # Its budget is counted in one place.
+    # The tokens of both turns are counted by the same owner.
     counts = [
       item.programs.entry_by_program['p'].ledger.spent
       for item in fleet.by_name.values()
@@ -326,12 +327,12 @@
     assert max(counts) == 12
 
 
-async def test_a_planned_stop_hands_programs_over_for_the_next_outage():
+async def test_planned_stop_hands_programs_over_before_an_outage():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     for id, parent in (('a', ''), ('b', 'a')):
       await fleet.turn('n1', id, parent=parent)
-    # A daemon that is new knows nothing of the program.
+    # A new daemon has no copy of the program.
     await fleet.start('n3')
     await asyncio.gather(*(fleet.by_name[n].leave() for n in ('n1', 'n2')))
     fleet.shared.is_out = True
@@ -341,7 +342,7 @@
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
 
 
-async def test_a_row_that_another_daemon_wrote_is_checked_before_it_is_used():
+async def test_concurrent_change_of_a_program_row_is_detected():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     await fleet.turn('n1', 'a', most=10, budget=100)
@@ -359,24 +360,26 @@
     assert fleet.get_body('b') is None
 
 
-async def test_turns_and_programs_whose_time_is_over_leave_the_store():
+async def test_expired_turns_and_programs_are_removed_from_the_store():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.engines.events = 600
     await fleet.turn('n1', 'a', most=9000, budget=10**6)
-    keys = [k for k in fleet.shared.row_by_key if k.table in KEPT_TABLES]
-    # The turn lies in two pieces.
+    keys = [k for k in fleet.shared.row_by_key if k.table in EXPIRING_TABLES]
+    # The turn is stored in two rows, the program in one.
     assert len(keys) == 3
     sweeper = fleet.by_name['n1'].sweeper
     now = time.time()
     for at, left in ((now + 100, 3), (now + 200, 1), (now + 4000, 0)):
       for key in keys:
         await sweeper.sweep(key.table, key.part, now=at)
-      rows_left = [k for k in fleet.shared.row_by_key if k.table in KEPT_TABLES]
+      rows_left = [
+        k for k in fleet.shared.row_by_key if k.table in EXPIRING_TABLES
+      ]
       assert len(rows_left) == left
 
 
-async def test_a_slow_store_holds_up_the_end_of_a_turn_but_not_its_start():
+async def test_slow_store_delays_the_end_of_a_turn_but_not_its_start():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     await fleet.turn('n1', 'a')
@@ -385,7 +388,7 @@
     running = asyncio.ensure_future(fleet.turn('n1', 'c', parent='b'))
     writes = fleet.shared.writes
     await nodes.wait_until(lambda: fleet.get_body('c'))
-    # It was sent before any write that it needs was done.
+    # The turn was sent to the engine before any of its writes had finished.
     assert fleet.shared.writes == writes
     await running
     fleet.shared.delay = 0.0
@@ -406,15 +409,15 @@
     assert entry.ledger.spent == 4 * 6
 
 
-async def test_a_new_owner_learns_what_was_spent_in_an_outage():
+async def test_new_owner_recovers_tokens_spent_in_an_outage():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     await fleet.turn('n1', 'a', most=10, budget=100)
     fleet.shared.is_out = True
     for id in ('b', 'c', 'd'):
       await fleet.turn('n1', id, most=10, budget=100)
-    # A daemon that starts now, and has the first claim on the program, finds
-    # only one turn in the store.
+    # A daemon that starts now and ranks first for the program finds only one
+    # turn in the store.
     old = fleet.by_name['n1'].programs
     old._is_first = lambda program: False
     fleet.shared.is_out = False
@@ -425,18 +428,18 @@
     assert new.entry_by_program['p'].ledger.spent == 4 * 6 + 10
 
 
-async def test_a_program_in_calm_times_reads_nothing_and_writes_twice_a_turn():
+async def test_turn_in_normal_operation_costs_no_store_read_and_two_writes():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     fleet.clear_calls()
     await fleet.turn('n1', 'a')
     await fleet.turn('n1', 'b', parent='a')
-    found = fleet.find_calls(*KEPT_TABLES)
+    found = fleet.find_calls(*EXPIRING_TABLES)
     each = [('change', 'programs'), ('change', 'turns')]
     assert sorted(found) == sorted(each * 2)
 
 
-async def test_a_first_turn_of_a_program_that_is_known_keeps_what_it_spent():
+async def test_first_turn_at_a_new_owner_keeps_the_spent_tokens():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a')
@@ -448,13 +451,13 @@
     assert entry.ledger.spent == 12
 
 
-async def test_members_are_not_behind_once_the_store_has_each_turn():
+async def test_members_are_not_behind_once_the_store_has_all_turns():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
     await fleet.turn('n1', 'b', parent='a')
     everyone = list(fleet.by_name.values())
-    # The standby and the other domain have their copies of the last turn.
+    # The standby and the other domain have received copies of the last turn.
     await nodes.wait_until(
       lambda: all(n.programs.cache.get('b') is not None for n in everyone)
     )
@@ -462,7 +465,7 @@
     assert not any(n.programs.is_behind for n in everyone)
 
 
-async def test_a_turn_that_nobody_has_costs_one_read_in_calm_times():
+async def test_unknown_parent_turn_costs_one_read_in_normal_operation():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
@@ -473,7 +476,7 @@
     assert fleet.find_calls('turns') == [('read', 'turns')]
 
 
-async def test_a_daemon_that_ran_the_turn_before_is_sent_no_history():
+async def test_daemon_that_ran_the_parent_turn_is_sent_no_history():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     for name in ('n1', 'n2', 's1'):
@@ -499,13 +502,13 @@
         if getattr(message, 'parent', '')
       ]
       assert all(m.is_brief and not a.history for m, a in asked)
-      # Another daemon has to be told.
+      # Another daemon has to be sent the history.
       other = 's1' if name == 'n1' else 'n1'
       await fleet.turn(other, f'{name}-c', program=program, parent=f'{name}-a')
       assert fleet.get_body(f'{name}-c') == expected.replace(b'-b>', b'-c>')
 
 
-def test_recent_lines_are_bounded_and_the_oldest_go_first():
+def test_recent_lines_evict_the_oldest_above_the_size_limit():
   lines = recent_lines.RecentLines()
   opened = turn_messages.OpenedTurn(history=b'x' * 300_000)
   for name in 'abcd':
