--- a/src/woadrun/request/attempts.py
+++ b/src/woadrun/request/attempts.py
@@ -248,8 +248,8 @@
         if second is not None:
           self._log_outcome(
             sending,
-            'no reply yet, hedging with a second instance; the average is '
-            f'{average_seconds * 1000:.0f} ms',
+            'no reply yet, hedging with a second instance '
+            f'(average: {average_seconds * 1000:.0f} ms)',
           )
           tasks.append(asyncio.ensure_future(self._send_once(second)))
       return await _get_first_usable(state, tasks)
@@ -258,6 +258,7 @@
       raise
 
   async def _send_once(self, sending: exchange.Sending) -> _Attempt:
+    """Sends a request to one instance and returns once its reply has begun."""
     id = sending.instance.life
     stack = contextlib.AsyncExitStack()
     stack.enter_context(self._loads.count(id))
@@ -287,6 +288,7 @@
   async def _relay_chunks(
     self, id: str, chunks: AsyncGenerator[bytes]
   ) -> AsyncGenerator[bytes]:
+    """Yields the chunks of a reply; a lost reply counts as a failure."""
     try:
       async with contextlib.aclosing(chunks):
         async for chunk in chunks:
@@ -396,6 +398,7 @@
 
 
 async def _cancel_attempts(tasks: list[asyncio.Task[_Attempt]]) -> None:
+  """Cancels the attempts still running and closes those with a reply."""
   for task in tasks:
     if not task.done():
       task.cancel()
--- a/src/woadrun/request/serving.py
+++ b/src/woadrun/request/serving.py
@@ -248,7 +248,7 @@
       # The budget then counts the reserved tokens, which are more than the
       # caller received.
       log.warning(
-        'Turn %s of %s keeps its reservation, its end was not recorded: %s',
+        'Turn %s of %s stays reserved because its end was not recorded: %s',
         message.request,
         message.program,
         error.message,
