--- a/src/woadrun/process/__init__.py
+++ b/src/woadrun/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""Services and state that live as long as the process."""
--- a/src/woadrun/process/copy_intake.py
+++ b/src/woadrun/process/copy_intake.py
@@ -1,4 +1,4 @@
-"""What other daemons tell of programs: copies of their owners, questions."""
+"""Receives copies of programs from other daemons, and answers queries."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CopyIntake:
-  """Keeps copies for a daemon that is a standby, or in another domain.
+  """Applies copies on a daemon that is a standby or in another domain.
 
   `entry_by_program`, `cache` and `unsaved` are those of the daemon's own
   programs, `domain` is its failure domain.
@@ -42,12 +42,12 @@
   async def tell(
     self, ask: turn_messages.AskProgram
   ) -> turn_messages.KnownProgram:
-    """Returns what this daemon has of a program that the store lacks."""
+    """Returns what this daemon holds of a program beyond the store."""
     entry = self._entry_by_program.get(ask.program)
     if entry is None:
       return turn_messages.KnownProgram()
     if ask.is_far:
-      return turn_messages.KnownProgram(copy=entry.far)
+      return turn_messages.KnownProgram(copy=entry.home_copy)
     if not (entry.needs_flush and entry.ledger.is_dirty):
       return turn_messages.KnownProgram()
     return turn_messages.KnownProgram(copy=self._copies.make(entry))
@@ -55,7 +55,7 @@
   async def tell_stored(
     self, ask: turn_messages.AskStored
   ) -> turn_messages.StoredTurns:
-    """Returns which turns this daemon brought to the store, or will bring."""
+    """Returns which turns this daemon has stored and which it will store."""
     kept = [r for r in ask.requests if self._cache.get(r) is not None]
     return turn_messages.StoredTurns(
       stored=tuple(r for r in kept if r not in self._unsaved),
@@ -65,93 +65,95 @@
   async def take_copy(
     self, copy: turn_messages.LedgerCopy
   ) -> turn_messages.KnownProgram:
-    """Keeps what the owner of a program sent in a request."""
-    return self.keep_copy(copy)
+    """Applies a copy that the owner of a program sent in a request."""
+    return self.apply_copy(copy)
 
   async def take_far_copy(
     self, copy: turn_messages.LedgerCopy
   ) -> turn_messages.KnownProgram:
-    """Keeps what the owner in another domain sent in a request.
+    """Applies a copy that an owner in another domain sent in a request.
 
-    Answers with a copy of its own where what is known here counts instead.
+    The answer holds the local copy if that one takes precedence.
     """
-    if self.keep_far_copy(copy):
+    if self.apply_remote_copy(copy):
       return turn_messages.KnownProgram()
     entry = self._entry_by_program[copy.program]
     return turn_messages.KnownProgram(copy=self._copies.make(entry))
 
   def receive_copy(self, data: bytes) -> None:
-    """Keeps what the owner of a program sent in a datagram.
+    """Applies a copy that the owner of a program sent in a datagram.
 
-    An owner that lacks turns gets a copy back: it was never told of those that
-    its standby let run while it was away.
+    If the owner lacks turns, it gets a copy back: it does not know the turns
+    that its standby granted while the owner was unreachable.
     """
     copy = program_copies.decode_datagram(data)
-    if copy is None or self.keep_copy(copy).copy is None:
+    if copy is None or self.apply_copy(copy).copy is None:
       return
     if not self._copies.is_first(copy.program):
-      self._copies.send_behind(self._entry_by_program[copy.program], ())
+      self._copies.send_in_background(self._entry_by_program[copy.program], ())
 
   def receive_far_copy(self, data: bytes) -> None:
-    """Keeps what the owner in another domain sent in a datagram."""
+    """Applies a copy that an owner in another domain sent in a datagram."""
     copy = program_copies.decode_datagram(data)
     if copy is not None:
-      self.keep_far_copy(copy)
+      self.apply_remote_copy(copy)
 
-  def keep_copy(
+  def apply_copy(
     self, copy: turn_messages.LedgerCopy
   ) -> turn_messages.KnownProgram:
-    """Keeps what the owner of a program sent.
+    """Applies a copy that the owner of a program sent.
 
-    Answers with a copy of its own where that counts what the owner did not:
-    an owner that was frozen, or one that got only an older copy.
+    The answer holds the local copy if that one counts turns that the owner does
+    not, or has a newer row: the owner was frozen, or received only an older
+    copy.
     """
-    self._keep(copy, domain=self._domain)
+    self._keep_turns(copy, domain=self._domain)
     held = program_copies.decode(copy)
     entry = self._entry_by_program.get(copy.program)
     if entry is None:
       entry = program_rows.Entry(program=copy.program, ledger=held)
       self._entry_by_program[copy.program] = entry
-      _take_bounds(entry, copy)
+      _apply_metadata(entry, copy)
       entry.is_copy = True
       entry.note_settled()
       return turn_messages.KnownProgram()
     is_older = held.version < entry.ledger.version
-    lacks = {
+    missing = {
       request
-      for request in entry.acted
+      for request in entry.local_decisions
       if entry.ledger.knows(request) and not held.knows(request)
     }
-    if is_older or lacks or entry.lock.locked():
+    if is_older or missing or entry.lock.locked():
       entry.ledger.merge(held)
-      entry.needs_flush |= copy.is_behind or bool(lacks)
+      entry.needs_flush |= copy.is_behind or bool(missing)
     else:
       entry.ledger = held
-      _take_bounds(entry, copy)
+      _apply_metadata(entry, copy)
     entry.note_settled()
-    entry.is_guess = False
+    entry.is_unverified = False
     entry.is_copy = True
     entry.used_at = time.monotonic()
-    if not is_older and not lacks:
+    if not is_older and not missing:
       return turn_messages.KnownProgram()
     log.info(
-      'The owner of %s lacks %d turns that count here: row %d, here %d.',
+      'Owner of program %s lacks %d turns counted here: its row %d, ours %d.',
       copy.program,
-      len(lacks),
+      len(missing),
       copy.version,
       entry.ledger.version,
     )
     return turn_messages.KnownProgram(copy=self._copies.make(entry))
 
-  def keep_far_copy(self, copy: turn_messages.LedgerCopy) -> bool:
-    """Returns whether what the owner in another domain sent counts here now.
+  def apply_remote_copy(self, copy: turn_messages.LedgerCopy) -> bool:
+    """Returns whether a copy from another domain replaced the local entry.
 
-    What is spent here counts on top of it.  The row in the store is the
-    home's: a change of ours is brought onto it by a failed condition.
+    Spending in this domain is counted on top of the copy. The row in the store
+    belongs to the home domain: the failed condition of a write from this domain
+    returns that row, and the changes are rebased onto it.
     """
-    self._keep(copy, domain=copy.home)
+    self._keep_turns(copy, domain=copy.home)
     entry = self._entry_by_program.get(copy.program)
-    if entry is not None and self._is_mine(entry, copy):
+    if entry is not None and self._is_local_preferred(entry, copy):
       return False
     row = ledger.LedgerRow(
       home=copy.home,
@@ -164,39 +166,40 @@
       entry = program_rows.Entry(program=copy.program, ledger=held)
       self._entry_by_program[copy.program] = entry
     entry.ledger = held
-    # The turns have been kept already.
-    entry.far = msgspec.structs.replace(copy, turns=(), unsaved=())
+    # The turns are in the cache already.
+    entry.home_copy = msgspec.structs.replace(copy, turns=(), unsaved=())
     entry.note_settled()
     entry.used_at = time.monotonic()
     return True
 
-  def _keep(self, copy: turn_messages.LedgerCopy, *, domain: str) -> None:
-    """Keeps the turns of a copy, also for the store if that lacks them.
+  def _keep_turns(self, copy: turn_messages.LedgerCopy, *, domain: str) -> None:
+    """Caches the turns of a copy, and queues those that are not stored yet.
 
-    So does a daemon of another domain: three daemons of one domain that were
-    killed in turn within an outage took finished turns with them.
+    Daemons of other domains do so too: finished turns were lost when three
+    daemons of one domain were killed one after another within an outage.
     """
     for turn in copy.turns:
       self._cache.put(turn)
       if turn.request in copy.unsaved:
         self._unsaved.put(turn, domain=domain)
 
-  def _is_mine(
+  def _is_local_preferred(
     self, entry: program_rows.Entry, copy: turn_messages.LedgerCopy
   ) -> bool:
-    """Returns whether a program is better known here than in a far copy."""
+    """Returns whether the local entry takes precedence over a remote copy."""
     held = entry.ledger
     if entry.needs_flush or entry.lock.locked():
       return True
     if held.home == self._domain:
       return held.version >= copy.version
-    # The row has what was spent here in a cut, which the home has not read yet.
+    # The row holds spending of this domain during a network partition, which
+    # the home domain has not read yet.
     return held.version > copy.version
 
 
-def _take_bounds(
+def _apply_metadata(
   entry: program_rows.Entry, copy: turn_messages.LedgerCopy
 ) -> None:
-  """Takes over what a copy tells beside the budget itself."""
+  """Copies the fields of a copy that are not part of the ledger."""
   entry.needs_flush = copy.is_behind
   entry.offline_known = copy.offline_known
--- a/src/woadrun/process/flusher.py
+++ b/src/woadrun/process/flusher.py
@@ -1,4 +1,4 @@
-"""Brings to the store what it lacks of turns and budgets."""
+"""Writes turns and ledgers to the store that are not saved yet."""
 
 from __future__ import annotations
 
@@ -22,30 +22,32 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Between looks for what the store lacks, in seconds.  Each look wakes the
-# process, so that they are not more frequent than an outage needs.
-FLUSH_SECONDS = 0.25
-# What a turn was given replaces what was reserved for it with the next turn's
-# reservation; a program without a call for so long, in seconds, is written by
-# itself.  Written at once, it took one call of the store more for each turn.
-SETTLE_SECONDS = 1.5
-PARALLEL_FLUSHES = 16
-# Looks since the store is in reach before a daemon asks after the turns that
-# another one should have brought there: well within the second or two that all
+# Interval between checks for unsaved state. Each check wakes the process, so
+# that the checks are no more frequent than an outage requires.
+FLUSH_INTERVAL_SECONDS = 0.25
+# Time without a call after which a settled program is written on its own. The
+# tokens of a turn otherwise replace its reservation with the write of the next
+# turn's reservation. Written at once, they took one more call to the store for
+# each turn.
+SETTLE_DELAY_SECONDS = 1.5
+MAX_PARALLEL_WRITES = 16
+# Flushes with the store reachable before a daemon asks about turns that another
+# daemon should have stored. That is well within the second or two that all
 # daemons may have until they are lost together.
-LOOKS_BEFORE_ASKING = 3
-# Until a member that does not tell which turns it stored counts as lost, in
-# seconds.
-ASK_SECONDS = 0.6
+FLUSHES_BEFORE_QUERY = 3
+# Timeout for the query which turns a member has stored; a member that does not
+# answer counts as lost.
+QUERY_TIMEOUT_SECONDS = 0.6
 
 
 class Flusher(mode.Service):
-  """Writes behind, as soon as the store is in reach.
+  """Writes unsaved turns and ledgers once the store is reachable.
 
-  `entry_by_program` and `unsaved` are those of the daemon's programs.  Up to
-  five daemons keep a turn of an outage: the first member in its domain stores
-  it, the others ask.  With all of them storing it, the store refused other
-  calls for their rate as it came back.
+  `entry_by_program` and `unsaved` are those of the daemon's programs. Up to
+  five daemons keep a turn of an outage: the member that ranks first in the
+  turn's domain stores it, and the others ask that member. When all of them
+  stored it, the store refused other calls for exceeding its rate after the
+  outage.
   """
 
   def __init__(
@@ -63,7 +65,7 @@
     super().__init__()
     self._members = members
     self._links = links
-    self._looks = 0
+    self._reachable_flushes = 0
     self._store = store
     self._turns = turns
     self._rows = program_store
@@ -72,29 +74,31 @@
     self._unsaved = unsaved
 
   @mode.Service.task
-  async def _flush_often(self) -> None:
+  async def _flush_periodically(self) -> None:
     while not self.should_stop:
-      await ticks.sleep(FLUSH_SECONDS)
+      await ticks.sleep(FLUSH_INTERVAL_SECONDS)
       await self.flush()
 
   async def flush(self) -> bool:
-    """Returns whether the store has all that it should."""
-    self._looks = self._looks + 1 if self._store.is_reached else 0
-    if self._unsaved and self._looks:
+    """Writes what is due; returns whether no unsaved turn is left."""
+    self._reachable_flushes = (
+      self._reachable_flushes + 1 if self._store.is_reached else 0
+    )
+    if self._unsaved and self._reachable_flushes:
       await self._flush_turns()
     if self._store.is_reached:
       await self._flush_ledgers()
     return not self._unsaved
 
   async def _flush_turns(self) -> None:
-    turns_by_member = self._divide()
+    turns_by_member = self._group_by_member()
     await self._write(turns_by_member.pop(self._members.me, []))
-    if self._looks >= LOOKS_BEFORE_ASKING:
-      asked = turns_by_member.items()
-      await asyncio.gather(*(self._ask(m, turns) for m, turns in asked))
+    if self._reachable_flushes >= FLUSHES_BEFORE_QUERY:
+      queried = turns_by_member.items()
+      await asyncio.gather(*(self._query(m, turns) for m, turns in queried))
 
-  def _divide(self) -> dict[beats.Member, list[turn_messages.Turn]]:
-    """Returns the turns by the member that stores them first."""
+  def _group_by_member(self) -> dict[beats.Member, list[turn_messages.Turn]]:
+    """Returns the turns by the member that stores them."""
     turns_by_member: dict[beats.Member, list[turn_messages.Turn]] = {}
     for item in self._unsaved.get_all():
       ranked = self._members.rank(item.turn.program, item.domain)
@@ -102,10 +106,10 @@
       turns_by_member.setdefault(first, []).append(item.turn)
     return turns_by_member
 
-  async def _ask(
+  async def _query(
     self, member: beats.Member, turns: list[turn_messages.Turn]
   ) -> None:
-    """Forgets what a member stored, and stores what it does not know."""
+    """Drops the turns that a member stored, and writes those it lacks."""
     requests = tuple(turn.request for turn in turns)
     try:
       found = await self._links.post(
@@ -113,10 +117,12 @@
         'turns/stored',
         turn_messages.AskStored(requests=requests),
         type=turn_messages.StoredTurns,
-        timeout=ASK_SECONDS,
+        timeout=QUERY_TIMEOUT_SECONDS,
       )
     except errors.WoadrunError as error:
-      log.info('%s does not tell what it stored: %s', member.name, error)
+      log.info(
+        '%s did not answer which turns it stored: %s', member.name, error
+      )
       found = turn_messages.StoredTurns()
     for request in found.stored:
       self._unsaved.drop(request)
@@ -126,10 +132,10 @@
   async def _write(self, turns: list[turn_messages.Turn]) -> None:
     if not turns:
       return
-    slots = asyncio.Semaphore(PARALLEL_FLUSHES)
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_WRITES)
 
     async def write(turn: turn_messages.Turn) -> None:
-      async with slots:
+      async with semaphore:
         await self._turns.write(turn)
       self._unsaved.drop(turn.request)
 
@@ -139,10 +145,10 @@
     failures = [r for r in results if isinstance(r, BaseException)]
     for failure in failures[:1]:
       log.warning('%d turns not stored yet: %s', len(failures), failure)
-    log.info('%d turns brought to the store.', len(turns) - len(failures))
+    log.info('Stored %d turns.', len(turns) - len(failures))
 
   async def _flush_ledgers(self) -> None:
-    limit = time.monotonic() - SETTLE_SECONDS
+    limit = time.monotonic() - SETTLE_DELAY_SECONDS
     due = [
       entry
       for entry in self._entry_by_program.values()
@@ -150,19 +156,19 @@
       and (entry.ledger.owes or entry.used_at < limit)
       and self._copies.is_first(entry.program)
     ]
-    slots = asyncio.Semaphore(PARALLEL_FLUSHES)
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_WRITES)
 
     async def save(entry: program_rows.Entry) -> None:
-      async with slots, entry.lock:
+      async with semaphore, entry.lock:
         if entry.ledger.is_dirty:
           await self._rows.save(entry)
         else:
           entry.needs_flush = False
-      self._copies.send_behind(entry, ())
+      self._copies.send_in_background(entry, ())
 
     results = await asyncio.gather(
       *(save(entry) for entry in due), return_exceptions=True
     )
     failures = [r for r in results if isinstance(r, BaseException)]
     for failure in failures[:1]:
-      log.warning('%d budgets not stored yet: %s', len(failures), failure)
+      log.warning('%d programs not stored yet: %s', len(failures), failure)
--- a/src/woadrun/process/histories.py
+++ b/src/woadrun/process/histories.py
@@ -1,4 +1,4 @@
-"""What was said before a turn, put together from the turns of its line."""
+"""The history before a turn, assembled from the preceding turns."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from woadrun.connection import turn_messages
 from woadrun.process import turn_store
 
-# When a caller of a turn that is not found may come back, in seconds.
-RETRY_SECONDS = 0.3
+# Retry delay for callers whose parent turn is not found.
+RETRY_AFTER_SECONDS = 0.3
 
 
 async def find(
   parent: str, *, cache: turn_store.TurnCache, store: turn_store.TurnStore
 ) -> turn_messages.OpenedTurn:
-  """Returns the line and the history that end with a turn.
+  """Returns the ids and the joined text of the turns up to a parent turn.
 
-  Raises `unknown_program` where a turn of them is not found, `not_owner`
-  where that cannot be known without the store.
+  Raises `unknown_program` if one of them is not found, `not_owner` if that
+  cannot be determined without the store.
   """
   if not parent:
     return turn_messages.OpenedTurn()
@@ -28,8 +28,8 @@
       raise
     raise errors.WoadrunError(
       errors.Code.NOT_OWNER,
-      f'The history is not known here: {error.message}',
-      retry_after=RETRY_SECONDS,
+      f'The history cannot be read: {error.message}',
+      retry_after=RETRY_AFTER_SECONDS,
     ) from error
   return _join(turns)
 
@@ -37,7 +37,7 @@
 def find_cached(
   parent: str, cache: turn_store.TurnCache
 ) -> turn_messages.OpenedTurn | None:
-  """Returns the same from memory alone, None where it lacks a turn."""
+  """Returns the same from the cache alone, or None if it lacks a turn."""
   if not parent:
     return turn_messages.OpenedTurn()
   last = cache.get(parent)
@@ -67,6 +67,6 @@
     raise errors.WoadrunError(
       errors.Code.UNKNOWN_PROGRAM,
       f'A turn of the history is not found: {" ".join(names)}.',
-      retry_after=RETRY_SECONDS,
+      retry_after=RETRY_AFTER_SECONDS,
     )
   return turns
--- a/src/woadrun/process/program_copies.py
+++ b/src/woadrun/process/program_copies.py
@@ -1,4 +1,4 @@
-"""Copies of programs: at their standbys, and in the other domains."""
+"""Sends copies of programs to their standbys and to other domains."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Until a standby that does not acknowledge is passed over, in seconds.
-COPY_SECONDS = 0.6
-# Until a member of another domain that is asked to count what is spent is
-# passed over, in seconds.
-COUNT_SECONDS = 0.4
-# Members of each other domain that are asked so, one after the other.
-MOST_COUNTING = 2
-# A domain of which none answered is not asked again for so long, in seconds:
-# callers whose turns need its word are refused at once meanwhile.
-UNHEARD_SECONDS = 0.5
-# Copies under way that nobody waits for; more are dropped, since the store
-# has what they hold.
-MOST_COPIES = 256
-# Members that are asked about a program that is new to this one: owner and
+# Timeout for the acknowledgement of a standby; the next member is tried then.
+COPY_TIMEOUT_SECONDS = 0.6
+# Timeout for a member of another domain that is asked to count the spending;
+# the next member is tried then.
+REPORT_TIMEOUT_SECONDS = 0.4
+# Members of each other domain that are asked in turn to count the spending.
+MAX_REPORT_ATTEMPTS = 2
+# Time for which a domain is not asked again after none of its members answered:
+# callers whose turns depend on that domain are refused at once meanwhile.
+DOMAIN_BACKOFF_SECONDS = 0.5
+# Copies that may be sent in the background at a time; further ones are dropped,
+# since the store has what they hold.
+MAX_BACKGROUND_COPIES = 256
+# Members that are asked about a program that is new to this one: its owner and
 # standby before the last change of members.
-MOST_ASKED = 3
-# Other domains that get a copy of each turn: each takes processor time at both
-# ends.  In regions of five domains one that is cut off goes on with half of the
-# others' programs.
-MOST_DOMAINS = 2
+MAX_QUERIED_MEMBERS = 3
+# Other domains that get a copy of each turn: each copy takes processor time at
+# both ends. In regions of five domains, a domain behind a network partition can
+# continue half of the others' programs.
+MAX_REMOTE_DOMAINS = 2
 
 
 class Copies:
-  """Sends programs to the next member in the order of their claim.
+  """Sends programs to the next member in the order of their rank.
 
-  `unsaved` has the ids of turns that the store lacks.
+  `unsaved` has the ids of turns that are not in the store.
   """
 
   def __init__(
@@ -63,15 +63,15 @@
     self._members = members
     self._links = links
     self._unsaved = unsaved
-    self._running: set[asyncio.Task[None]] = set()
-    self._unheard_until_by_domain: dict[str, float] = {}
+    self._background_tasks: set[asyncio.Task[None]] = set()
+    self._backoff_until_by_domain: dict[str, float] = {}
 
   async def send(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> None:
-    """Brings a program to its standby, unless no other member is alive.
+    """Replicates a program to its standby, unless no other member is alive.
 
-    What the standby counts and this daemon did not is taken over.
+    Spending that the standby counts and this daemon does not is merged.
     """
     message = self._make_copy(entry, turns)
     me = self._members.me
@@ -91,105 +91,124 @@
     if failure is not None:
       raise failure
 
-  def send_far_behind(
+  def send_remote_in_background(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> None:
-    """Sends a program after a turn to other domains; nobody waits for it.
+    """Sends a program to other domains after a turn, in the background.
 
-    A domain that is cut off goes on with the programs whose callers it has:
-    a fifth of all turns come in through another domain than the one before.
+    A domain that is cut off by a network partition continues the programs that
+    it has copies of: a fifth of all turns arrive through another domain than
+    the turn before.
     """
     message = self._make_copy(entry, turns)
-    data = _encode_small(message)
-    for member in self._find_far(entry.program):
+    data = _encode_datagram(message)
+    for member in self._find_remote_members(entry.program):
       if data is not None:
         self._members.datagrams.send(member.address, datagrams.FAR_COPY, data)
       else:
-        self._run(self._try_post(member, 'program/far', message))
+        self._start_in_background(
+          self._try_post(member, 'program/far', message)
+        )
 
-  async def tell_domains(self, entry: program_rows.Entry) -> bool:
-    """Returns whether each other domain counts what is spent here.
+  async def report_to_domains(self, entry: program_rows.Entry) -> bool:
+    """Returns whether each other domain counts the spending of this one.
 
-    What a domain counts and this daemon did not is taken over; it then does not
-    count what it was told.
+    Spending that a domain counts and this daemon does not is merged; that
+    domain does not count what was reported to it, so the result is false.
     """
     others = self._members.domains - {self._members.me.domain}
-    if any(self._is_unheard(domain) for domain in others):
+    if any(self._is_backing_off(domain) for domain in others):
       return False
     message = self._make_copy(entry, ())
     answers = await asyncio.gather(
-      *(self._tell_domain(entry, domain, message) for domain in sorted(others))
+      *(
+        self._report_to_domain(entry, domain, message)
+        for domain in sorted(others)
+      )
     )
     return all(answer is not None and answer.copy is None for answer in answers)
 
-  def tell_begin_behind(self, entry: program_rows.Entry) -> None:
-    """Tells the domains in `unknown_in` of a program; nobody waits for it."""
-    if entry.unknown_in:
-      self._run(self._tell_begin(entry))
+  def announce_in_background(self, entry: program_rows.Entry) -> None:
+    """Announces a program to its `uninformed_domains` in the background."""
+    if entry.uninformed_domains:
+      self._start_in_background(self._announce(entry))
 
-  async def _tell_begin(self, entry: program_rows.Entry) -> None:
+  async def _announce(self, entry: program_rows.Entry) -> None:
     message = self._make_copy(entry, ())
 
-    async def tell(domain: str) -> None:
-      if await self._tell_domain(entry, domain, message) is not None:
-        entry.unknown_in.discard(domain)
+    async def announce(domain: str) -> None:
+      if await self._report_to_domain(entry, domain, message) is not None:
+        entry.uninformed_domains.discard(domain)
 
-    await asyncio.gather(*(tell(domain) for domain in sorted(entry.unknown_in)))
+    await asyncio.gather(
+      *(announce(domain) for domain in sorted(entry.uninformed_domains))
+    )
 
-  def _is_unheard(self, domain: str) -> bool:
-    until = self._unheard_until_by_domain.get(domain, -math.inf)
+  def _is_backing_off(self, domain: str) -> bool:
+    until = self._backoff_until_by_domain.get(domain, -math.inf)
     return time.monotonic() < until
 
-  async def _tell_domain(
+  async def _report_to_domain(
     self,
     entry: program_rows.Entry,
     domain: str,
     message: turn_messages.LedgerCopy,
   ) -> turn_messages.KnownProgram | None:
-    """Returns what a member of a domain answers, None where none does.
+    """Returns the answer of a domain's first member that answers, else None.
 
-    What is known there and not here is taken over.
+    Spending that the answer holds and this daemon lacks is merged.
     """
-    for member in self._members.rank(entry.program, domain)[:MOST_COUNTING]:
+    for member in self._members.rank(entry.program, domain)[
+      :MAX_REPORT_ATTEMPTS
+    ]:
       try:
         known = await self._post(
-          member, 'program/far', message, timeout=COUNT_SECONDS
+          member, 'program/far', message, timeout=REPORT_TIMEOUT_SECONDS
         )
       except errors.WoadrunError as error:
-        log.info('%s does not count %s: %s', member.name, entry.program, error)
+        log.info(
+          '%s did not answer a report about program %s: %s',
+          member.name,
+          entry.program,
+          error,
+        )
         continue
       if known.copy is not None:
         entry.ledger.merge(decode(known.copy))
       return known
-    self._unheard_until_by_domain[domain] = time.monotonic() + UNHEARD_SECONDS
+    self._backoff_until_by_domain[domain] = (
+      time.monotonic() + DOMAIN_BACKOFF_SECONDS
+    )
     return None
 
-  async def ask(
-    self, program: str, *, is_young: bool = False
+  async def fetch(
+    self, program: str, *, includes_remote: bool = False
   ) -> list[turn_messages.LedgerCopy]:
-    """Returns what other members have of a program that the store lacks.
+    """Returns what other members hold of a program beyond the store.
 
-    A daemon that `is_young` asks other domains as well.
+    With `includes_remote` members of other domains are asked as well.
     """
     me = self._members.me
-    near = self._members.rank(program, me.domain)[:MOST_ASKED]
-    asked = [(m, False) for m in near if m.name != me.name]
-    if is_young:
-      # All daemons of a domain that was lost in an outage had forgotten what
-      # they had spent, and gave the budget anew.
-      asked += ((member, True) for member in self._find_far(program))
+    local_members = self._members.rank(program, me.domain)[:MAX_QUERIED_MEMBERS]
+    queried = [(m, False) for m in local_members if m.name != me.name]
+    if includes_remote:
+      # After all daemons of a domain were lost in an outage, their successors
+      # did not know the spending and granted the budget again.
+      queried += (
+        (member, True) for member in self._find_remote_members(program)
+      )
     results = await asyncio.gather(
-      *(self._ask_at(m, program, is_far=is_far) for m, is_far in asked)
+      *(self._fetch_from(m, program, is_far=is_far) for m, is_far in queried)
     )
     return [copy for copy in results if copy is not None]
 
-  def _find_far(self, program: str) -> Iterator[beats.Member]:
+  def _find_remote_members(self, program: str) -> Iterator[beats.Member]:
     """Yields the members of other domains that get copies of a program."""
     others = self._members.domains - {self._members.me.domain}
     for domain in choose_domains(program, others):
       yield from self._members.rank(program, domain)[:1]
 
-  async def _ask_at(
+  async def _fetch_from(
     self, member: beats.Member, program: str, *, is_far: bool
   ) -> turn_messages.LedgerCopy | None:
     try:
@@ -198,10 +217,15 @@
         'program/ask',
         turn_messages.AskProgram(program=program, is_far=is_far),
         type=turn_messages.KnownProgram,
-        timeout=COPY_SECONDS,
+        timeout=COPY_TIMEOUT_SECONDS,
       )
     except errors.WoadrunError as error:
-      log.info('%s does not tell of %s: %s', member.name, program, error)
+      log.info(
+        '%s did not answer a query for program %s: %s',
+        member.name,
+        program,
+        error,
+      )
       return None
     return known.copy
 
@@ -209,13 +233,13 @@
     """Returns the copy of a program without its turns."""
     return self._make_copy(entry, ())
 
-  def send_behind(
+  def send_in_background(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> None:
-    """Sends a copy that nobody waits for."""
-    data = _encode_small(self._make_copy(entry, turns))
+    """Sends a copy to the standby in the background."""
+    data = _encode_datagram(self._make_copy(entry, turns))
     if data is None:
-      self._run(self.try_send(entry, turns))
+      self._start_in_background(self.try_send(entry, turns))
       return
     me = self._members.me
     for member in self._members.rank(entry.program, me.domain)[:2]:
@@ -228,19 +252,22 @@
     return len(self._members.rank(program, self._members.me.domain)) > 1
 
   def is_first(self, program: str) -> bool:
-    """Returns whether this daemon has the first claim on a program."""
+    """Returns whether this daemon ranks first for a program."""
     me = self._members.me
     ranked = self._members.rank(program, me.domain)
     return not ranked or ranked[0] == me
 
-  def _run(self, sending: Coroutine[None, None, None]) -> None:
-    if len(self._running) >= MOST_COPIES:
-      log.warning('A copy is left out: %d are under way.', len(self._running))
+  def _start_in_background(self, sending: Coroutine[None, None, None]) -> None:
+    if len(self._background_tasks) >= MAX_BACKGROUND_COPIES:
+      log.warning(
+        'Dropped a copy: %d are being sent already.',
+        len(self._background_tasks),
+      )
       sending.close()
       return
     task = asyncio.ensure_future(sending)
-    self._running.add(task)
-    task.add_done_callback(self._running.discard)
+    self._background_tasks.add(task)
+    task.add_done_callback(self._background_tasks.discard)
 
   async def _try_post(
     self, member: beats.Member, path: str, message: turn_messages.LedgerCopy
@@ -248,7 +275,9 @@
     try:
       await self._post(member, path, message)
     except errors.WoadrunError as error:
-      log.info('No copy of %s: %s', message.program, error.message)
+      log.info(
+        'Copy of program %s not sent: %s', message.program, error.message
+      )
 
   async def _post(
     self,
@@ -256,7 +285,7 @@
     path: str,
     message: turn_messages.LedgerCopy,
     *,
-    timeout: float = COPY_SECONDS,
+    timeout: float = COPY_TIMEOUT_SECONDS,
   ) -> turn_messages.KnownProgram:
     return await self._links.post(
       member.address,
@@ -269,11 +298,11 @@
   async def try_send(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> None:
-    """Sends a copy; a failure is only logged."""
+    """Sends a copy to the standby; a failure is only logged."""
     try:
       await self.send(entry, turns)
     except errors.WoadrunError as error:
-      log.info('No copy of %s: %s', entry.program, error.message)
+      log.info('Copy of program %s not sent: %s', entry.program, error.message)
 
   def _make_copy(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
@@ -297,11 +326,12 @@
     )
 
 
-def _encode_small(copy: turn_messages.LedgerCopy) -> bytes | None:
-  """Returns a copy as a datagram, None where that will not do.
+def _encode_datagram(copy: turn_messages.LedgerCopy) -> bytes | None:
+  """Returns a copy encoded as a datagram, or None if it has to be a request.
 
-  A request takes a connection and an answer, which nobody waits for here.
-  Turns that the store lacks must not be lost.
+  A request takes a connection and an answer, which nothing waits for here. A
+  copy with turns that are not in the store is sent as a request, since those
+  must not be lost; so is a copy that is too large.
   """
   if copy.unsaved:
     return None
@@ -310,26 +340,26 @@
 
 
 def decode_datagram(data: bytes) -> turn_messages.LedgerCopy | None:
-  """Returns the copy in a datagram, None where there is none."""
+  """Returns the copy in a datagram, or None if it cannot be decoded."""
   try:
     return msgspec.msgpack.decode(data, type=turn_messages.LedgerCopy)
   except msgspec.MsgspecError as error:
-    log.warning('Ignored a copy: %s', error)
+    log.warning('Ignored a copy that cannot be decoded: %s', error)
     return None
 
 
 def choose_domains(program: str, others: Iterable[str]) -> list[str]:
   """Returns which other domains get copies of a program.
 
-  They stay the same for all of its turns, so that each has the whole line, and
-  spread over the domains from program to program.
+  They stay the same for all turns of the program, so that each of them has its
+  whole history, and differ from program to program to spread the load.
   """
   ranked = sorted(others, key=lambda domain: hubs.weigh(domain, program))
-  return ranked[:MOST_DOMAINS]
+  return ranked[:MAX_REMOTE_DOMAINS]
 
 
 def decode(copy: turn_messages.LedgerCopy) -> ledger.Ledger:
-  """Returns the budget in a copy."""
+  """Returns the ledger in a copy."""
   saved = ledger.LedgerRow(
     home=copy.home,
     settled=copy.saved_settled,
--- a/src/woadrun/process/program_rows.py
+++ b/src/woadrun/process/program_rows.py
@@ -1,4 +1,4 @@
-"""Programs as the row store has them, and as a daemon holds them."""
+"""Programs as rows of the store, and as entries in a daemon's memory."""
 
 from __future__ import annotations
 
@@ -23,47 +23,49 @@
 log = logging.getLogger('woadrun.programs')
 
 TABLE = 'programs'
-# Between two reads of a row because its budget does not hold a turn, in
-# seconds: other daemons settle what their turns were given within that time.
-REFRESH_SECONDS = 1.0
+# Minimum interval between two reads of a row because a turn does not fit the
+# budget: other daemons settle ended turns within this time.
+REFRESH_INTERVAL_SECONDS = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Entry:
   """A program in memory.
 
-  `attempts` are the ids of writes that may have been done although no
-  answer came.  `offline_known` is what other domains know to be spent while
-  the store is out: this one has a part of the rest.  `least_told` is the least
-  that they were told since they were asked last to count what is spent;
-  `telling` is held meanwhile.  `far` is what the home in another domain told
-  last, which the store may lack.  `unknown_in` names the other domains that
-  may not have heard of a program that began here.  `guarded_most` bounds the
-  budget while another domain may spend without the store.
-  `needs_flush` says that the row should not wait for the next call.
-  `is_copy` says that another daemon told it last; `acted` has the turns that
-  this daemon itself decided on and the store does not count yet.
-  `is_guess` says that neither the store nor a daemon was asked yet whether
-  the program is new.  Until `unsure_until`, on the monotonic clock, a cut may
-  have begun that nobody has noticed, and the program with it elsewhere.
-  `prefixes` tells where its prompts were read.
+  `unconfirmed_writes` are the ids of writes that may have been applied although
+  no answer arrived. `offline_known` is the spending that other domains know
+  while the store is unreachable; this domain may spend a share of the rest.
+  `min_reported_spent` is the lowest spending reported to other domains since
+  they were last asked to count it; `report_lock` is held meanwhile. `home_copy`
+  is the latest copy from the home domain if that is another one; the store may
+  lack what it holds. `uninformed_domains` are the other domains that may not
+  know a program that started here. `partition_limit` bounds the spending of
+  this domain while another domain may spend without the store. `needs_flush`
+  says that the row should be written without waiting for the next call.
+  `is_copy` says that the latest update came from another daemon;
+  `local_decisions` has the turns that this daemon decided on itself and that
+  the row does not count yet. `is_unverified` says that neither the store nor a
+  daemon was asked yet whether the program is new. Until
+  `undetected_partition_until`, on the monotonic clock, a network partition may
+  have begun undetected and the program may have started in another domain too.
+  `prefixes` records which instances read which prompts.
   """
 
   program: str
   ledger: ledger.Ledger
   lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
-  attempts: set[str] = dataclasses.field(default_factory=set)
+  unconfirmed_writes: set[str] = dataclasses.field(default_factory=set)
   offline_known: int | None = None
-  least_told: float = math.inf
-  telling: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
-  far: turn_messages.LedgerCopy | None = None
-  unknown_in: set[str] = dataclasses.field(default_factory=set)
-  guarded_most: float | None = None
+  min_reported_spent: float = math.inf
+  report_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+  home_copy: turn_messages.LedgerCopy | None = None
+  uninformed_domains: set[str] = dataclasses.field(default_factory=set)
+  partition_limit: float | None = None
   needs_flush: bool = False
   is_copy: bool = False
-  is_guess: bool = False
-  unsure_until: float = -math.inf
-  acted: set[str] = dataclasses.field(default_factory=set)
+  is_unverified: bool = False
+  undetected_partition_until: float = -math.inf
+  local_decisions: set[str] = dataclasses.field(default_factory=set)
   refreshed_at: float = -math.inf
   used_at: float = dataclasses.field(default_factory=time.monotonic)
   prefixes: prefixes.Prefixes = dataclasses.field(
@@ -74,24 +76,25 @@
   )
 
   def note_settled(self) -> None:
-    """Takes note of what is settled now."""
+    """Records the tokens of settled turns at the current time."""
     self.spending.note(self.ledger.settled, now=time.monotonic())
 
   def get_known(self, *, lasted: float) -> int:
-    """Returns what other domains surely know to be spent, in tokens.
+    """Returns the spending that other domains are certain to know, in tokens.
 
-    An outage or a cut has lasted for `lasted` seconds.
+    `lasted` is the duration of the outage or network partition so far, in
+    seconds.
     """
     known = self.spending.get_known(now=time.monotonic(), lasted=lasted)
     return min(known, self.ledger.settled)
 
-  def note_told(self) -> None:
-    """Takes note that other domains are told what is spent now.
+  def note_reported(self) -> None:
+    """Records that the current spending is sent to other domains.
 
-    It may be less than what they were told before, once a turn has ended.
+    It may be lower than what they were sent before, once a turn has ended.
     """
     spent = self.ledger.spent
-    self.least_told = min(self.least_told, spent)
+    self.min_reported_spent = min(self.min_reported_spent, spent)
     if self.offline_known is not None:
       self.offline_known = min(self.offline_known, spent)
 
@@ -99,7 +102,7 @@
 class ProgramRows:
   """Reads and writes the rows of programs.
 
-  `domain` becomes the home of a program that the store does not have.
+  `domain` is the home domain of programs that have no row yet.
   """
 
   def __init__(
@@ -116,9 +119,9 @@
     self._domain = domain
 
   def make(self, *, is_split: bool = False) -> ledger.Ledger:
-    """Returns the budget of a program that begins here.
+    """Returns the ledger of a program that starts in this domain.
 
-    With `is_split` it may have begun elsewhere too.
+    With `is_split` the program may have started in another domain too.
     """
     row = ledger.LedgerRow(home=self._domain, is_split=is_split)
     return ledger.Ledger(saved=row, version=0)
@@ -126,9 +129,9 @@
   async def read(
     self, program: str, *, is_split: bool = False
   ) -> ledger.Ledger:
-    """Returns a program's budget as the store has it.
+    """Returns the ledger of a program as stored.
 
-    One that it does not have is new, as with `make`.
+    A program without a row is new, as with `make`.
     """
     key = _get_key(program)
     page = await self._store.read(
@@ -142,7 +145,8 @@
     return found
 
   async def _resolve(self, found: ledger.Ledger) -> None:
-    # The owner before may have ended before it settled what had run whole.
+    # The previous owner may have stopped before it settled turns that had
+    # completed.
     names = list(found.saved.reserved)
     turns = await turn_store.gather(names, cache=self._cache, store=self._turns)
     for turn in turns:
@@ -150,24 +154,24 @@
         found.settle(turn.request, turn.tokens)
 
   async def refresh(self, entry: Entry) -> None:
-    """Brings an entry up to what the store has, if that can be reached.
+    """Reloads an entry from the store if the store can be reached.
 
-    It is not read again at once: programs that loop without end ask again and
-    again after their budget is spent.
+    Calls within the refresh interval do nothing: programs that retry in a loop
+    call again and again after their budget is spent.
     """
     now = time.monotonic()
-    if now - entry.refreshed_at < REFRESH_SECONDS:
+    if now - entry.refreshed_at < REFRESH_INTERVAL_SECONDS:
       return
     entry.refreshed_at = now
     try:
-      await self.read_anew(entry)
+      await self.reload(entry)
     except errors.WoadrunError as error:
-      log.info('A budget was not read anew: %s', error.message)
+      log.info('Reload of a program failed: %s', error.message)
 
-  async def read_anew(self, entry: Entry) -> None:
-    """Brings an entry up to what the store has; raises where it is not read."""
+  async def reload(self, entry: Entry) -> None:
+    """Reloads an entry from the store; raises if the row cannot be read."""
     found = await self.read(entry.program)
-    entry.is_guess = False
+    entry.is_unverified = False
     if found.version > entry.ledger.version:
       entry.ledger.rebase(found.saved, found.version)
     for request in found.saved.reserved:
@@ -176,12 +180,16 @@
         entry.ledger.settle(request, turn.tokens)
 
   async def save(self, entry: Entry) -> bool:
-    """Returns whether the row is written; else it was changed meanwhile."""
+    """Returns whether the store has the entry's changes after a write attempt.
+
+    False means that another daemon changed the row and changes are still to be
+    written.
+    """
     held = entry.ledger
     write = secrets.token_hex(4)
     row = held.make_row(write, now=time.time())
     key = _get_key(entry.program)
-    entry.attempts.add(write)
+    entry.unconfirmed_writes.add(write)
     outcome = await self._store.change(
       writes=[(key, msgspec.json.encode(row))],
       conditions=[(key, held.version)],
@@ -190,40 +198,40 @@
       held.note_saved(row, outcome.version)
       self._note_saved(entry)
       return True
-    was_guess = entry.is_guess
-    entry.is_guess = False
-    self._take_conflict(entry, outcome)
-    if was_guess:
+    was_unverified = entry.is_unverified
+    entry.is_unverified = False
+    self._apply_conflict(entry, outcome)
+    if was_unverified:
       await self._resolve(held)
     return not held.is_dirty
 
   def _note_saved(self, entry: Entry) -> None:
-    entry.attempts.clear()
-    entry.is_guess = False
+    entry.unconfirmed_writes.clear()
+    entry.is_unverified = False
     entry.offline_known = None
     entry.needs_flush = False
     held = entry.ledger
-    entry.acted = {
+    entry.local_decisions = {
       request
-      for request in entry.acted
+      for request in entry.local_decisions
       if request in held.given
       or (request in held.reserved and request not in held.saved.reserved)
     }
 
-  def _take_conflict(self, entry: Entry, outcome: rows.Outcome) -> None:
+  def _apply_conflict(self, entry: Entry, outcome: rows.Outcome) -> None:
     current = outcome.rows[0] if outcome.rows else None
     if current is None or not current.version:
-      # The row is not there, although it was: it counts as new.
+      # The row existed before and is gone: it is treated as new.
       row = ledger.LedgerRow(home=entry.ledger.home)
       entry.ledger.rebase(row, 0)
       return
     row = _decode(current.value)
-    if row.write in entry.attempts:
+    if row.write in entry.unconfirmed_writes:
       entry.ledger.note_saved(row, current.version)
       self._note_saved(entry)
       return
     log.info(
-      'Program %s was changed by another daemon: row %d, known %d.',
+      'Program %s was changed by another daemon: row %d, expected %d.',
       entry.program,
       current.version,
       entry.ledger.version,
@@ -239,10 +247,10 @@
   try:
     return msgspec.json.decode(value, type=ledger.LedgerRow)
   except msgspec.MsgspecError as error:
-    # Another writer's: what the program spent is not known any more.
-    log.error('A row of a program is unreadable: %s', error)
+    # Another writer's format: the spending of the program is unknown.
+    log.error('Cannot decode the row of a program: %s', error)
     raise errors.WoadrunError(
       errors.Code.PLATFORM_UNAVAILABLE,
-      f'The row of the program is unreadable: {error}',
+      f'The row of the program cannot be decoded: {error}',
       retry_after=1.0,
     ) from error
--- a/src/woadrun/process/programs.py
+++ b/src/woadrun/process/programs.py
@@ -1,10 +1,12 @@
-"""Programs whose budget and history this daemon looks after.
-
-A program has an owner in its home domain, found by rendezvous hashing, and
-a standby after it.  With the store in reach the owner only saves time: each
-reservation is a conditional write, so that a second owner does no harm.
-With the store out of reach the owner goes on by itself: what it decides
-counts when the standby has it, and the store gets it as soon as it is back.
+"""Owner and standby roles of this daemon for the budgets of programs.
+
+A program has an owner in its home domain, chosen by rendezvous hashing, and the
+member ranked next is its standby. While the store is reachable, having one
+owner is an optimization only: each reservation is a conditional write, so a
+second owner cannot overspend the budget. While the store is unreachable, the
+owner continues without it: a decision is valid once the standby has
+acknowledged it, and the owner writes it to the store when the store is
+reachable again.
 """
 
 from __future__ import annotations
@@ -35,23 +37,24 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# A program without a call for so long leaves the memory, in seconds.
-IDLE_SECONDS = 60.0
-# A daemon that started so shortly ago may have forgotten programs that still
-# run, in seconds: what it does not know is new only if the store says so.
-YOUNG_SECONDS = 20.0
-# A program that begins while a cut begins may begin on its other side as well,
-# for so long, in seconds: until a call of the store is lost, and until a domain
-# that was cut off then is silent.
-UNSURE_SECONDS = 2.5
-PARALLEL_HANDOVERS = 16
-# A program without a call for so long is not handed over at a planned stop,
-# in seconds: its pauses are shorter.
-IN_USE_SECONDS = 15.0
+# Time without a call after which a program is evicted from memory.
+IDLE_TIMEOUT_SECONDS = 60.0
+# Time after the start of this daemon in which programs that it served before a
+# restart may still be running: a program that the daemon does not know is new
+# only if the store says so.
+STARTUP_WINDOW_SECONDS = 20.0
+# Time in which a network partition may go undetected: until a call to the store
+# fails and an unreachable domain counts as silent. A program that starts in
+# this time may start on the other side of the partition too.
+PARTITION_DETECTION_SECONDS = 2.5
+MAX_PARALLEL_HANDOVERS = 16
+# Programs with a call within this time are handed over at a planned stop.
+# Pauses between the calls of a running program are shorter.
+ACTIVE_WINDOW_SECONDS = 15.0
 
 
 class Programs(mode.Service):
-  """The owner's and the standby's part for all programs."""
+  """Reserves and settles the budgets of programs, as owner or as standby."""
 
   def __init__(
     self,
@@ -100,7 +103,7 @@
     )
 
   async def on_start(self) -> None:
-    """Begins to take copies, and to bring to the store what it lacks."""
+    """Registers the handlers for copies and starts the flusher."""
     sent = self._members.datagrams
     sent.handle(datagrams.COPY, self.intake.receive_copy)
     sent.handle(datagrams.FAR_COPY, self.intake.receive_far_copy)
@@ -113,11 +116,11 @@
   ) -> turn_messages.OpenedTurn:
     """Returns the history of a turn once its tokens are reserved.
 
-    Raises `budget_exceeded` where the budget does not hold the turn,
-    `not_owner` where this daemon cannot know, `unknown_program` where the
-    turn to continue from is not found.
+    Raises `budget_exceeded` if the turn does not fit the budget, `not_owner` if
+    this daemon cannot decide, `unknown_program` if the turn to continue from is
+    not found.
     """
-    entry = await self._load(ask, is_new=is_new)
+    entry = await self._get_entry(ask, is_new=is_new)
     home = entry.ledger.home
     if home != self._members.me.domain and not ask.is_away:
       if ask.is_brief:
@@ -131,28 +134,31 @@
       opened = await histories.find(
         ask.parent, cache=self.cache, store=self._turns
       )
-    # A program without a row may begin in another domain at this moment: both
-    # spent the whole budget behind.
+    # A program without a row may be starting in another domain at the same
+    # time: with reservations written in the background, both domains spent the
+    # whole budget.
     has_row = entry.ledger.version > 0
-    # Alone, a slow store is the only witness: two members that each took the
-    # other for dead spent the same budget.
+    # Without a standby, only the store can show that another member acts for
+    # the program, however slow the store is: two members that each considered
+    # the other dead spent the same budget.
     has_standby = self._copies.has_standby(ask.program)
     is_slow = self._store.is_slow and has_standby
     if is_slow and not ask.is_away and has_row:
-      # The standby's word comes a hundred times sooner than a slow write,
-      # which held up each turn by half a second; the store gets it behind.
-      # The end of a turn still waits for the store.
-      await self._reservations.reserve_behind(entry, ask)
+      # The standby acknowledges a hundred times sooner than a slow write, which
+      # delayed each turn by half a second. The store gets the reservation in
+      # the background. The end of a turn still waits for the store.
+      await self._reservations.reserve_at_standby(entry, ask)
     else:
-      is_new = entry.is_guess
+      is_new = entry.is_unverified
       async with entry.lock:
         await self._reserve(entry, ask)
       if is_new and home == entry.ledger.home:
-        # A cut that begins now finds the program known on its other side.
-        entry.unknown_in = self._members.domains - {home}
-        self._copies.tell_begin_behind(entry)
+        # If a network partition begins now, the other domains already know the
+        # program.
+        entry.uninformed_domains = self._members.domains - {home}
+        self._copies.announce_in_background(entry)
     log.debug(
-      'Turn %s of %s may run: %d spent with it, row %d.',
+      'Turn %s of %s is granted: %d tokens spent with it, row %d.',
       ask.request,
       ask.program,
       entry.ledger.spent,
@@ -167,16 +173,16 @@
     try:
       await self._reservations.reserve(entry, ask)
     finally:
-      if entry.is_guess and not entry.ledger.spent:
-        # The next call asks the others.  What was spent must not be forgotten:
-        # as a cut began, programs that loop had their budget anew after each
-        # refusal.
+      if entry.is_unverified and not entry.ledger.spent:
+        # The next call asks the other members. A ledger with spent tokens must
+        # not be dropped: at the start of a network partition, programs that
+        # retried in a loop got a new budget after each refusal.
         self.entry_by_program.pop(ask.program, None)
 
   async def close(self, done: turn_messages.CloseTurn) -> turn_messages.Closed:
-    """Takes note of how a turn ended.
+    """Settles a turn that has ended.
 
-    A turn that the store does not have counts once the standby has it.
+    A turn that is not in the store counts once the standby has acknowledged it.
     """
     entry = self.entry_by_program.get(done.program)
     self.keep(done)
@@ -184,70 +190,73 @@
       if done.turn is None or done.is_saved or done.is_away:
         return turn_messages.Closed()
       raise errors.WoadrunError(
-        errors.Code.NOT_OWNER, 'This daemon does not know the program.'
+        errors.Code.NOT_OWNER,
+        'The program is not known to this daemon; the turn is not settled.',
       )
     entry.used_at = time.monotonic()
     entry.ledger.settle(done.request, done.tokens)
     entry.note_settled()
-    entry.note_told()
+    entry.note_reported()
     if done.instance:
       entry.prefixes.note(done.instance, done.parts, now=entry.used_at)
     if not done.is_saved:
-      entry.acted.add(done.request)
-    # A whole turn in the store tells by itself what it was given.
+      entry.local_decisions.add(done.request)
+    # A complete turn in the store already records its tokens, so its settlement
+    # need not be written at once.
     entry.needs_flush |= done.turn is None or not done.is_saved
     turns = () if done.turn is None else (done.turn,)
     if done.is_saved:
-      self._copies.send_behind(entry, turns)
+      self._copies.send_in_background(entry, turns)
     else:
       await self._copies.send(entry, turns)
     if entry.ledger.home == self._members.me.domain:
-      self._copies.send_far_behind(entry, turns)
-      self._copies.tell_begin_behind(entry)
+      self._copies.send_remote_in_background(entry, turns)
+      self._copies.announce_in_background(entry)
     return turn_messages.Closed()
 
   def keep(self, done: turn_messages.CloseTurn) -> None:
-    """Keeps a whole turn, and brings it to the store if that lacks it."""
+    """Caches a complete turn, and queues it for the store if not saved."""
     if done.turn is None:
       return
     self.cache.put(done.turn)
     if not done.is_saved:
       self.unsaved.put(done.turn, domain=self._members.me.domain)
 
-  async def _load(
+  async def _get_entry(
     self, ask: turn_messages.OpenTurn, *, is_new: bool
   ) -> program_rows.Entry:
     entry = self.entry_by_program.get(ask.program)
     if entry is None:
-      loaded = await self._find(ask, is_new=is_new)
-      # Another call may have loaded it meanwhile.
+      loaded = await self._load_entry(ask, is_new=is_new)
+      # A concurrent call may have loaded the program in the meantime.
       entry = self.entry_by_program.setdefault(ask.program, loaded)
     elif entry.is_copy and not self._store.is_reached:
-      await self._confirm(entry)
+      await self._merge_peer_copies(entry)
     entry.used_at = time.monotonic()
     return entry
 
-  async def _confirm(self, entry: program_rows.Entry) -> None:
-    # Without the store nothing tells whether a copy is the newest one.  A
-    # third member with an older copy had let a budget be exceeded.
-    for copy in await self._copies.ask(entry.program):
+  async def _merge_peer_copies(self, entry: program_rows.Entry) -> None:
+    # Without the store, a copy is not known to be the newest one. A third
+    # member with an older copy let a budget be exceeded.
+    for copy in await self._copies.fetch(entry.program):
       entry.ledger.merge(program_copies.decode(copy))
     entry.is_copy = False
 
-  async def _find(
+  async def _load_entry(
     self, ask: turn_messages.OpenTurn, *, is_new: bool
   ) -> program_rows.Entry:
     is_settled = self._store.is_reached and self._members.is_settled
     if is_settled and not ask.parent and ask.begins:
-      # A first turn begins a program, or the failed condition of its first
-      # write brings the row: nothing has to be read before.
+      # A first turn starts a program. If the program exists already, the failed
+      # condition of the first write returns its row, so no read is needed here.
       return program_rows.Entry(
         program=ask.program,
         ledger=self._rows.make(),
-        is_guess=True,
-        unsure_until=time.monotonic() + UNSURE_SECONDS,
+        is_unverified=True,
+        undetected_partition_until=time.monotonic()
+        + PARTITION_DETECTION_SECONDS,
       )
-    views = await self._find_views(ask)
+    views = await self._fetch_ledgers(ask)
     if not ask.begins:
       views = [view for view in views if view.version or view.is_dirty]
     for view in views[1:]:
@@ -258,31 +267,37 @@
       )
     if not is_new:
       raise errors.WoadrunError(
-        errors.Code.NOT_OWNER, 'The program is not known here.'
+        errors.Code.NOT_OWNER, 'The program is not known to this daemon.'
       )
-    is_split = self._is_young or bool(self._members.find_unsettled())
+    is_split = self._is_in_startup_window or bool(
+      self._members.find_unsettled()
+    )
     return program_rows.Entry(
       program=ask.program,
       ledger=self._rows.make(is_split=is_split),
-      unsure_until=time.monotonic() + UNSURE_SECONDS - self._store.outage,
+      undetected_partition_until=time.monotonic()
+      + PARTITION_DETECTION_SECONDS
+      - self._store.outage,
     )
 
   @property
-  def _is_young(self) -> bool:
-    """Whether this daemon may have forgotten programs that still run."""
-    return time.monotonic() - self._created_at < YOUNG_SECONDS
+  def _is_in_startup_window(self) -> bool:
+    """Whether programs from before a restart of this daemon may still run."""
+    return time.monotonic() - self._created_at < STARTUP_WINDOW_SECONDS
 
-  async def _find_views(
+  async def _fetch_ledgers(
     self, ask: turn_messages.OpenTurn
   ) -> list[ledger.Ledger]:
-    """Returns a program as the store and other members have it."""
-    # Who had the program before may hold what it spent in an outage, which
-    # the store does not have yet: without it a budget was exceeded.
+    """Returns the ledgers of a program from the store and other members."""
+    # A previous owner may hold spending from an outage that is not in the store
+    # yet: without it, a budget was exceeded.
     row, copies = await asyncio.gather(
       self._rows.read(
         ask.program, is_split=bool(self._members.find_unsettled())
       ),
-      self._copies.ask(ask.program, is_young=self._is_young),
+      self._copies.fetch(
+        ask.program, includes_remote=self._is_in_startup_window
+      ),
       return_exceptions=True,
     )
     if isinstance(copies, BaseException):
@@ -292,14 +307,14 @@
       return [row, *views]
     if not isinstance(row, errors.WoadrunError):
       raise row
-    log.info('Program %s was not read: %s', ask.program, row.message)
+    log.info('Program %s not read from the store: %s', ask.program, row.message)
     return views
 
   # --- What the store lacks -------------------------------------------------
 
   @property
   def is_owing(self) -> bool:
-    """Whether the store lacks what was spent of other domains' programs."""
+    """Whether spending of other domains' programs is not in the store yet."""
     mine = self._members.me.domain
     return any(
       entry.needs_flush and entry.ledger.owes and entry.ledger.home != mine
@@ -308,7 +323,7 @@
 
   @property
   def is_behind(self) -> bool:
-    """Whether the store lacks what others must know before they decide."""
+    """Whether turns or spending that other members need are not stored yet."""
     return len(self.unsaved) > 0 or any(
       entry.needs_flush and entry.ledger.owes
       for entry in self.entry_by_program.values()
@@ -317,32 +332,32 @@
   # --- A planned stop -------------------------------------------------------
 
   async def hand_over(self) -> None:
-    """Brings what is in use to those who look after it from now on.
+    """Sends the programs in use to the members that take over from this one.
 
-    The store has it as well, unless it is out; but the next outage may
-    come before a program's next call.
+    The store usually has them as well, but it may be unreachable now, or become
+    unreachable before a program's next call.
     """
     turns_by_program: dict[str, list[turn_messages.Turn]] = {}
     for turn in self.cache.get_all():
       turns_by_program.setdefault(turn.program, []).append(turn)
-    limit = time.monotonic() - IN_USE_SECONDS
+    limit = time.monotonic() - ACTIVE_WINDOW_SECONDS
     entries = [e for e in self.entry_by_program.values() if e.used_at > limit]
-    slots = asyncio.Semaphore(PARALLEL_HANDOVERS)
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_HANDOVERS)
 
-    async def hand(entry: program_rows.Entry) -> None:
-      async with slots:
+    async def send_entry(entry: program_rows.Entry) -> None:
+      async with semaphore:
         turns = tuple(turns_by_program.get(entry.program, ()))
         await self._copies.try_send(entry, turns)
 
-    await asyncio.gather(*(hand(entry) for entry in entries))
-    log.info('%d programs are handed over.', len(entries))
+    await asyncio.gather(*(send_entry(entry) for entry in entries))
+    log.info('Handed over %d programs.', len(entries))
 
   @mode.Service.task
-  async def _expire_often(self) -> None:
+  async def _expire_periodically(self) -> None:
     while not self.should_stop:
       await ticks.sleep(1.0)
       self.cache.expire()
-      limit = time.monotonic() - IDLE_SECONDS
+      limit = time.monotonic() - IDLE_TIMEOUT_SECONDS
       idle = [
         program
         for program, entry in self.entry_by_program.items()
--- a/src/woadrun/process/reservations.py
+++ b/src/woadrun/process/reservations.py
@@ -1,9 +1,9 @@
 """Reserves the tokens of a turn against the budget of its program.
 
-With the store in reach each reservation is a conditional write of one row.
-Without it a part of what is left may be spent on the standby's word; the
-rest is kept for the domains that may reach the store meanwhile, unless each of
-them counts the turn as well.
+While the store is reachable, each reservation is a conditional write of one
+row. While it is unreachable, a share of the remaining budget may be spent once
+the standby acknowledges. The rest is kept for domains that may reach the store
+meanwhile, unless each of them counts the turn as well.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Conflicts of one reservation before it is refused; each means that another
-# daemon wrote the same row.
-MOST_CONFLICTS = 6
-# When a caller may come back where nobody can tell yet, in seconds.
-RETRY_SECONDS = 0.3
+# Write conflicts of one reservation before it is refused; each means that
+# another daemon wrote the same row.
+MAX_CONFLICTS = 6
+# Retry delay for callers while the state of the program cannot be determined.
+RETRY_AFTER_SECONDS = 0.3
 
 
 class Reservations:
-  """The budgets of programs, as one daemon reserves of them."""
+  """Reserves tokens of programs on behalf of one daemon."""
 
   def __init__(
     self,
@@ -50,35 +50,36 @@
   async def reserve(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn
   ) -> None:
-    """Sets a turn's tokens aside; the caller holds the entry's lock.
+    """Reserves a turn's tokens; the caller holds the entry's lock.
 
-    Raises `budget_exceeded` where they do not fit, and what keeps this
-    daemon from knowing that.
+    Raises `budget_exceeded` if they do not fit, or the error that keeps this
+    daemon from deciding.
     """
     budget = math.inf if ask.budget is None else ask.budget
-    for _ in range(MOST_CONFLICTS):
+    for _ in range(MAX_CONFLICTS):
       await self._check_budget(entry, ask, budget)
       entry.ledger.reserve(ask.request, ask.most)
       try:
         if await self._rows.save(entry):
-          self._copies.send_behind(entry, ())
+          self._copies.send_in_background(entry, ())
           return
       except errors.WoadrunError as error:
         await self._reserve_without_store(entry, ask, budget, error)
         return
-      # Another daemon changed the row: what fitted before may not fit now.
+      # Another daemon changed the row: the turn may not fit the budget any
+      # more.
       if ask.request not in entry.ledger.saved.reserved:
         entry.ledger.withdraw(ask.request)
     raise errors.WoadrunError(
       errors.Code.NOT_COMMITTED,
-      'Too many daemons write to the program.',
-      retry_after=RETRY_SECONDS,
+      'Too many write conflicts on the program.',
+      retry_after=RETRY_AFTER_SECONDS,
     )
 
-  async def reserve_behind(
+  async def reserve_at_standby(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn
   ) -> None:
-    """Sets a turn's tokens aside at the standby; the store gets it later."""
+    """Reserves a turn's tokens at the standby; the store is written later."""
     budget = math.inf if ask.budget is None else ask.budget
     await self._check_budget(entry, ask, budget)
     entry.ledger.reserve(ask.request, ask.most)
@@ -95,9 +96,9 @@
       return
     entry.note_settled()
     if held.home == self._members.me.domain:
-      self._check_guarded(entry, ask, budget)
+      self._check_partition_limit(entry, ask, budget)
     elif ask.is_away and self._store.is_reached:
-      await self._check_away(entry, ask, budget)
+      await self._check_away_limit(entry, ask, budget)
     if held.can_reserve(ask.most, most=budget):
       return
     if self._store.is_reached:
@@ -106,34 +107,37 @@
         return
     raise errors.WoadrunError(
       errors.Code.BUDGET_EXCEEDED,
-      f'The budget of {budget:.0f} tokens does not hold {ask.most} more '
-      f'after {held.spent}.',
+      f'The budget of {budget:.0f} tokens does not allow {ask.most} more '
+      f'after {held.spent} spent.',
     )
 
-  async def _check_away(
+  async def _check_away_limit(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
     # The home domain may be spending the other half without the store.
     held = entry.ledger
     is_bounded = budget < math.inf
     if is_bounded and held.away_most is None and not held.version:
-      await self._rows.read_anew(entry)
+      await self._rows.reload(entry)
     if is_bounded and held.away_most is None:
-      part = self._get_share(entry, has_store=True)
-      # The row lacks what the home spent in an outage before it was cut off:
-      # counted from the row alone, that was spent here once more.
-      told = program_copies.decode(entry.far).spent if entry.far else 0
-      left = budget - max(told, held.spent)
-      held.away_most = held.spent + int(max(0.0, left) * part)
+      share = self._get_share(entry, has_store=True)
+      # The row lacks what the home domain spent in an outage before a network
+      # partition began: with only the row counted, those tokens were spent here
+      # again.
+      reported = (
+        program_copies.decode(entry.home_copy).spent if entry.home_copy else 0
+      )
+      left = budget - max(reported, held.spent)
+      held.away_most = held.spent + int(max(0.0, left) * share)
       log.info(
-        'Away from its home %s, %s may have %d: %d spent, %d told, part %.3f, '
-        'row %d.',
+        'Home domain %s is unreachable; program %s may spend up to %d: %d '
+        'spent, %d reported, share %.3f, row %d.',
         held.home,
         entry.program,
         held.away_most,
         held.spent,
-        told,
-        part,
+        reported,
+        share,
         held.version,
       )
     if held.away_most is None:
@@ -141,56 +145,61 @@
     if not held.can_reserve(ask.most, most=held.away_most):
       raise errors.WoadrunError(
         errors.Code.OWNER_UNAVAILABLE,
-        f'The domain {held.home}, which has the budget, is out of reach.',
-        retry_after=RETRY_SECONDS,
+        f'The home domain {held.home} of the program is unreachable, and the '
+        'share of this domain is spent.',
+        retry_after=RETRY_AFTER_SECONDS,
       )
 
-  def _check_guarded(
+  def _check_partition_limit(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
-    # A domain that is cut off may be spending what its own part allows.
+    # A domain on the other side of a network partition may be spending its own
+    # share.
     held = entry.ledger
     unsettled = self._find_unsettled(entry)
     if not unsettled:
-      entry.guarded_most = None
-      # All are back and owe nothing.  Kept, the bound of one cut left other
-      # domains nothing to spend in the next one.
+      entry.partition_limit = None
+      # All domains are reachable again and their spending is in the store. When
+      # the limit of one partition was kept, other domains had nothing left to
+      # spend in the next partition.
       held.away_most = None
       return
-    if entry.guarded_most is None:
-      # The other side divides what it knows to be left: counted from what is
-      # spent now, both had a part of what went as the cut began.
-      part = self._get_share(entry, has_store=True)
-      known = entry.get_known(lasted=self._get_cut())
-      entry.guarded_most = known + (budget - known) * part
+    if entry.partition_limit is None:
+      # The other side divides what it knows to be left: when both sides counted
+      # from the current spending, both got a share of the tokens spent as the
+      # partition began.
+      share = self._get_share(entry, has_store=True)
+      known = entry.get_known(lasted=self._get_disconnected_seconds())
+      entry.partition_limit = known + (budget - known) * share
       log.info(
-        'Beside %s, %s may have %.0f: %d known, part %.3f, row %d.',
+        'While %s may spend too, program %s may spend up to %.0f: %d known, '
+        'share %.3f, row %d.',
         ', '.join(sorted(unsettled)),
         entry.program,
-        entry.guarded_most,
+        entry.partition_limit,
         known,
-        part,
+        share,
         held.version,
       )
-    if not held.can_reserve(ask.most, most=entry.guarded_most):
+    if not held.can_reserve(ask.most, most=entry.partition_limit):
       raise errors.WoadrunError(
         errors.Code.OWNER_UNAVAILABLE,
-        'A domain that is cut off may be spending the rest of the budget.',
+        'An unreachable domain may be spending the rest of the budget.',
         retry_after=retry_after.estimate_outage(self._members.get_silence()),
       )
 
   def _find_unsettled(self, entry: program_rows.Entry) -> set[str]:
-    """Returns the other domains that may spend without this one's knowledge.
+    """Returns the other domains that may spend without this one knowing.
 
-    One that has not heard of a program may begin it anew.
+    A domain that has not heard of a program may start it as new.
     """
-    return self._members.find_unsettled() | entry.unknown_in
+    return self._members.find_unsettled() | entry.uninformed_domains
 
   def _get_share(self, entry: program_rows.Entry, *, has_store: bool) -> float:
     held = entry.ledger
     is_home = held.home == self._members.me.domain
     if held.saved.is_split and not has_store:
-      # Another domain may take itself for the home as well.
+      # Another domain may consider itself the home domain as well.
       is_home = False
     unsettled = len(self._find_unsettled(entry) - {held.home})
     return shares.get_share(
@@ -207,29 +216,30 @@
     budget: float,
     error: errors.WoadrunError,
   ) -> None:
-    if entry.is_guess and not ask.keeps_history:
-      # It may have spent its budget elsewhere: taken for new, each domain
-      # let it begin anew.
+    if entry.is_unverified and not ask.keeps_history:
+      # The program may have spent its budget elsewhere: when it was taken for
+      # new, each domain granted the whole budget again.
       entry.ledger.withdraw(ask.request)
       raise errors.WoadrunError(
         errors.Code.NOT_OWNER,
-        f'Whether the program is new is not known: {error.message}',
-        retry_after=RETRY_SECONDS,
+        f'Cannot determine whether the program is new: {error.message}',
+        retry_after=RETRY_AFTER_SECONDS,
       ) from error
-    # From now on a copy of another daemon does not undo it.
-    entry.acted.add(ask.request)
+    # From here on, a copy from another daemon does not remove the reservation.
+    entry.local_decisions.add(ask.request)
     entry.needs_flush = True
     try:
-      self._check_alone(entry.ledger, error)
+      self._check_authority(entry.ledger, error)
       await self._check_offline(entry, ask, budget)
       await self._copies.send(entry, ())
-      # The standby may have told of turns that this daemon did not know.
+      # The standby may have returned turns that this daemon did not count.
       await self._check_offline(entry, ask, budget)
     except errors.WoadrunError:
       entry.ledger.withdraw(ask.request)
       raise
     log.info(
-      'Turn %s of %s may run without the store: %d spent, row %d (%s).',
+      'Turn %s of %s is granted without the store: %d tokens spent, row %d '
+      '(%s).',
       ask.request,
       ask.program,
       entry.ledger.spent,
@@ -237,11 +247,12 @@
       error.message,
     )
 
-  def _check_alone(
+  def _check_authority(
     self, held: ledger.Ledger, error: errors.WoadrunError
   ) -> None:
-    # The others of an isolated daemon's domain go on without it, and so does
-    # a home that is heard: both would spend the same tokens.
+    # An isolated daemon must not decide, because the other members of its
+    # domain continue without it; nor must a daemon away from a home domain that
+    # is still heard. Both sides would spend the same tokens.
     home = held.home
     is_away = home != self._members.me.domain
     if self._members.is_isolated or (
@@ -249,109 +260,123 @@
     ):
       raise error
 
-  def _is_unsure(self, entry: program_rows.Entry) -> bool:
-    """Returns whether a program may have begun on the other side of a cut.
+  def _may_have_started_elsewhere(self, entry: program_rows.Entry) -> bool:
+    """Returns whether a program may have started across a partition too.
 
-    Nobody has noticed the cut then, and the other side leaves this one no part:
-    it has the one turn by which a budget may be overrun.  A program that is
-    known to be split has a part of its own.
+    If so, the partition is undetected and the other side reserves no share for
+    this one, which then has only the one turn by which a budget may be overrun.
+    A program that is known to be split has a share of its own.
     """
     held = entry.ledger
     is_home = held.home == self._members.me.domain
     if held.version or held.saved.is_split or not is_home:
       return False
     if self._members.find_unsettled():
-      return entry.unsure_until > -math.inf
-    if time.monotonic() >= entry.unsure_until:
-      # There is no cut: the store is out for all.
-      entry.unsure_until = -math.inf
-    return entry.unsure_until > -math.inf
+      return entry.undetected_partition_until > -math.inf
+    if time.monotonic() >= entry.undetected_partition_until:
+      # No partition was detected in time: the store is unreachable for all
+      # domains.
+      entry.undetected_partition_until = -math.inf
+    return entry.undetected_partition_until > -math.inf
 
   async def _check_offline(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
     held = entry.ledger
-    if self._is_unsure(entry) and held.spent > ask.most:
+    if self._may_have_started_elsewhere(entry) and held.spent > ask.most:
       raise errors.WoadrunError(
         errors.Code.PLATFORM_UNAVAILABLE,
-        'The store is out, and the program may have begun elsewhere.',
-        retry_after=RETRY_SECONDS,
+        'The store is unreachable, and the program may have started in '
+        'another domain.',
+        retry_after=RETRY_AFTER_SECONDS,
       )
     if self._fits_offline(entry, ask, budget):
       return
-    await self._ask_to_count(entry)
+    await self._report_spending(entry)
     if not self._fits_offline(entry, ask, budget):
       raise errors.WoadrunError(
         errors.Code.PLATFORM_UNAVAILABLE,
-        'The store is out, and the part of the budget that needs none is '
-        'spent.',
+        'The store is unreachable, and the share of the budget for such an '
+        'outage is spent.',
         retry_after=retry_after.estimate_outage(self._store.outage),
       )
 
   def _fits_offline(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> bool:
-    """Returns whether a turn that is reserved may run without the store."""
+    """Returns whether a reserved turn may run without the store."""
     if budget == math.inf:
       return True
     held = entry.ledger
-    part = self._get_share(entry, has_store=False)
-    known = self._get_offline_known(entry, ask, part)
-    rest = (budget - known) * part
+    share = self._get_share(entry, has_store=False)
+    known = self._get_offline_known(entry, ask, share)
+    remaining = (budget - known) * share
     if held.home != self._members.me.domain:
-      # The home may not know of the cut and spend all: what is spent here then
-      # is the one turn by which a budget may be overrun.
-      rest = min(rest, ask.most)
-    most = known + rest
+      # The home domain may not have detected the partition and may spend the
+      # whole budget: this domain then spends only the one turn by which a
+      # budget may be overrun.
+      remaining = min(remaining, ask.most)
+    most = known + remaining
     if held.saved.is_split and held.spent - ask.most < most:
-      # A program may overrun its budget by one turn, which is used here, where
-      # most programs that may have begun elsewhere have not: a quarter of the
-      # usual budget is less than the most of one turn, and their second turns
-      # were refused until the cut had healed.
+      # A program may overrun its budget by one turn. That turn is granted here,
+      # since most programs that may have started elsewhere have not: a quarter
+      # of the usual budget is less than the maximum of one turn, and their
+      # second turns were refused until the partition had healed.
       return True
     return held.spent <= max(most, ask.most)
 
   def _get_offline_known(
-    self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, part: float
+    self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, share: float
   ) -> int:
-    """Returns what this side counts from: it stays until the row is saved."""
+    """Returns the spending from which this domain's share is computed.
+
+    It stays the same until the row is saved.
+    """
     if entry.offline_known is None:
-      entry.offline_known = self._find_known(entry, ask)
+      entry.offline_known = self._find_known_spent(entry, ask)
       log.info(
-        'Without the store %s may have part %.3f of the rest: %d known, '
-        'row %d, unsettled: %s.',
+        'Without the store, program %s may spend share %.3f of the rest: '
+        '%d known, row %d, unsettled: %s.',
         entry.program,
-        part,
+        share,
         entry.offline_known,
         entry.ledger.version,
         ', '.join(sorted(self._members.find_unsettled())) or 'none',
       )
     return entry.offline_known
 
-  def _find_known(
+  def _find_known_spent(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn
   ) -> int:
-    """Returns what the home and the other domains both know to be spent."""
+    """Returns the spending that both the home and other domains know."""
     held = entry.ledger
     if held.home != self._members.me.domain:
-      # All that is known here came from the home.
+      # All spending known here was reported by the home domain.
       return held.spent - held.reserved.get(ask.request, 0)
-    return entry.get_known(lasted=self._get_cut())
+    return entry.get_known(lasted=self._get_disconnected_seconds())
 
-  def _get_cut(self) -> float:
-    """Returns for how long others may have been told nothing, in seconds."""
+  def _get_disconnected_seconds(self) -> float:
+    """Returns the longest time for which others may have heard nothing.
+
+    It is in seconds.
+    """
     return max(self._store.outage, self._members.get_silence())
 
-  async def _ask_to_count(self, entry: program_rows.Entry) -> None:
-    # A cut is noticed a second after it has begun.  A home that took the rest
-    # as its own until then spent what the side with the store had its part of.
+  async def _report_spending(self, entry: program_rows.Entry) -> None:
+    # A partition is detected a second after it begins. A home domain that
+    # treated the whole rest as its own until then spent tokens of which the
+    # side with the store had a share.
     held = entry.ledger
     is_home = held.home == self._members.me.domain
     if not is_home or held.saved.is_split or self._members.find_unsettled():
       return
-    async with entry.telling:
-      entry.least_told = spent = held.spent
-      if await self._copies.tell_domains(entry):
-        known = min(spent, entry.least_told)
+    async with entry.report_lock:
+      entry.min_reported_spent = spent = held.spent
+      if await self._copies.report_to_domains(entry):
+        known = min(spent, entry.min_reported_spent)
         entry.offline_known = max(known, entry.offline_known or 0)
-        log.info('Other domains count %d of %s.', known, entry.program)
+        log.info(
+          'Other domains count %d tokens spent by program %s.',
+          known,
+          entry.program,
+        )
--- a/src/woadrun/process/sweeper.py
+++ b/src/woadrun/process/sweeper.py
@@ -1,7 +1,7 @@
-"""Removes from the row store what nobody may continue from any more.
+"""Removes expired turns and programs from the store.
 
-Each daemon looks after a share of the parts, found by rendezvous hashing,
-and reads one of them at a time.  Two daemons at one part do no harm.
+Each daemon sweeps a share of the parts, assigned by rendezvous hashing, and
+reads one part at a time. Two daemons may sweep the same part safely.
 """
 
 from __future__ import annotations
@@ -24,18 +24,19 @@
 
 log = logging.getLogger('woadrun.sweeper')
 
-# Between two parts, in seconds: a daemon reads a few kilobytes a second.
-PAUSE_SECONDS = 15.0
-# Clocks of VMs differ, and a turn may just be asked for, in seconds.
-MARGIN_SECONDS = 60.0
-# A program without a write for so long is over, in seconds.
-PROGRAM_SECONDS = 3600.0
-# Rows removed by one change; the store takes at most a hundred.
-BATCH = 100
+# Interval between two parts: a daemon reads a few kilobytes a second.
+SWEEP_INTERVAL_SECONDS = 15.0
+# Margin after the expiry of a turn, because clocks of VMs differ and a request
+# may just be reading the turn.
+EXPIRY_MARGIN_SECONDS = 60.0
+# Time without a write after which a program has expired.
+PROGRAM_RETENTION_SECONDS = 3600.0
+# Rows removed in one transaction; the store takes at most a hundred.
+MAX_BATCH_ROWS = 100
 
 
 class Sweeper(mode.Service):
-  """Looks at one part after the other."""
+  """Sweeps one part after another."""
 
   def __init__(self, *, store: rows.RowStore, members: fleet.Fleet) -> None:
     super().__init__()
@@ -44,51 +45,61 @@
     self.removed = 0
 
   @mode.Service.task
-  async def _sweep_often(self) -> None:
+  async def _sweep_periodically(self) -> None:
     while not self.should_stop:
       # A daemon that has just started has more urgent work.
-      await asyncio.sleep(PAUSE_SECONDS)
+      await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
       for table, part in self._find_parts():
         try:
           await self.sweep(table, part, now=time.time())
         except errors.WoadrunError as error:
-          log.info('Part %s of %s not swept: %s', part, table, error.message)
-        await asyncio.sleep(PAUSE_SECONDS)
+          log.info(
+            'Part %s of table %s not swept: %s', part, table, error.message
+          )
+        await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
 
   def _find_parts(self) -> Iterator[tuple[str, str]]:
-    parts = [f'{number:02x}' for number in range(turn_store.PARTS)]
+    parts = [f'{number:02x}' for number in range(turn_store.PART_COUNT)]
     for part in self._members.find_own(parts):
       yield turn_store.TABLE, part
       yield program_rows.TABLE, part
 
   async def sweep(self, table: str, part: str, *, now: float) -> None:
-    """Removes the rows of a part whose time is over."""
+    """Removes the expired rows of a part."""
     page = await feed.read_all(self._store, table, part)
-    find = _find_old_turns if table == turn_store.TABLE else _find_old_programs
-    old = list(find(page.rows, now))
-    for at in range(0, len(old), BATCH):
-      await self._store.change(removes=old[at : at + BATCH])
-    self.removed += len(old)
-    if old:
-      log.info('%d rows of part %s of %s removed.', len(old), part, table)
-
-
-def _find_old_turns(
+    find = (
+      _find_expired_turns
+      if table == turn_store.TABLE
+      else _find_expired_programs
+    )
+    expired = list(find(page.rows, now))
+    for at in range(0, len(expired), MAX_BATCH_ROWS):
+      await self._store.change(removes=expired[at : at + MAX_BATCH_ROWS])
+    self.removed += len(expired)
+    if expired:
+      log.info(
+        'Removed %d rows of part %s of table %s.', len(expired), part, table
+      )
+
+
+def _find_expired_turns(
   found: tuple[rows.Row, ...], now: float
 ) -> Iterator[rows.Key]:
-  is_old = False
+  is_expired = False
   for row in found:
-    # The further pieces of a turn follow its first one.
+    # The further pieces of a turn sort after its first piece.
     if '/' not in row.key.name:
-      is_old = turn_store.is_over(row.value, now=now - MARGIN_SECONDS)
-    if is_old:
+      is_expired = turn_store.is_expired(
+        row.value, now=now - EXPIRY_MARGIN_SECONDS
+      )
+    if is_expired:
       yield row.key
 
 
-def _find_old_programs(
+def _find_expired_programs(
   found: tuple[rows.Row, ...], now: float
 ) -> Iterator[rows.Key]:
   for row in found:
     kept = msgspec.json.decode(row.value, type=ledger.LedgerRow)
-    if kept.written_at + PROGRAM_SECONDS < now:
+    if kept.written_at + PROGRAM_RETENTION_SECONDS < now:
       yield row.key
--- a/src/woadrun/process/turn_store.py
+++ b/src/woadrun/process/turn_store.py
@@ -1,7 +1,8 @@
-"""Finished turns: in the row store, and those kept in memory.
+"""Finished turns in the store, and a cache of them in memory.
 
-A turn is found by its request id alone, by any daemon and for any program.
-A turn larger than a row lies in several rows of one part, written together.
+A turn is found by its request id alone, by any daemon and for any program. A
+turn larger than a row is stored as several rows of one part, which are written
+together.
 """
 
 from __future__ import annotations
@@ -19,27 +20,27 @@
 
 TABLE = 'turns'
 # Parts of a table, which spread the writes; their names have two digits.
-PARTS = 256
-# Reads of one history under way at a time.
-PARALLEL_READS = 8
-# The first piece of a row begins so: when the turn's time is over, in
-# seconds of the time of day, so that nobody has to decode the rest.
-_HEAD = struct.Struct('>d')
+PART_COUNT = 256
+# Maximum parallel reads for one history.
+MAX_PARALLEL_READS = 8
+# The first piece of a turn starts with the turn's expiry, in seconds of the
+# time of day, so that the sweeper need not decode the rest.
+_EXPIRY_HEADER = struct.Struct('>d')
 
 
 def get_part(name: str) -> str:
-  """Returns the part of a row."""
+  """Returns the part of the table in which a row lies."""
   return hashlib.blake2b(name.encode(), digest_size=1).hexdigest()
 
 
-def is_over(piece: bytes, *, now: float) -> bool:
-  """Returns whether the turn that begins so may be forgotten."""
-  (until,) = _HEAD.unpack_from(piece)
+def is_expired(piece: bytes, *, now: float) -> bool:
+  """Returns whether the turn that starts with this piece has expired."""
+  (until,) = _EXPIRY_HEADER.unpack_from(piece)
   return bool(until < now)
 
 
 class TurnStore:
-  """Turns by request id, in the row store.
+  """Turns by request id, in the store.
 
   `row_bytes` is the largest value of a row.
   """
@@ -49,33 +50,35 @@
     self._row_bytes = row_bytes
 
   async def write(self, turn: turn_messages.Turn) -> None:
-    """Stores a turn; a second time changes nothing."""
-    head = _HEAD.pack(turn.ended_at + turn.retention)
-    data = head + msgspec.msgpack.encode(turn)
+    """Stores a turn; storing it again has no effect."""
+    header = _EXPIRY_HEADER.pack(turn.ended_at + turn.retention)
+    data = header + msgspec.msgpack.encode(turn)
     part = get_part(turn.request)
     size = self._row_bytes
     pieces = [data[at : at + size] for at in range(0, len(data), size)]
     writes = [
-      (rows.Key(TABLE, part, _get_name(turn.request, number)), piece)
+      (rows.Key(TABLE, part, _get_row_name(turn.request, number)), piece)
       for number, piece in enumerate(pieces)
     ]
     await self._store.change(writes=writes)
 
   async def read(self, request: str) -> turn_messages.Turn | None:
-    """Returns a turn, or None where the store has none."""
-    # '0' is the sign after '/': the range holds all pieces of one turn.
+    """Returns a turn, or None if the store has none."""
+    # '0' is the character after '/': the range covers all pieces of one turn.
     page = await self._store.read(
       TABLE, get_part(request), first=request, end=f'{request}0'
     )
     if not page.rows:
       return None
-    found = sorted(page.rows, key=lambda row: _get_number(row.key.name))
+    found = sorted(page.rows, key=lambda row: _get_piece_number(row.key.name))
     data = b''.join(row.value for row in found)
-    return msgspec.msgpack.decode(data[_HEAD.size :], type=turn_messages.Turn)
+    return msgspec.msgpack.decode(
+      data[_EXPIRY_HEADER.size :], type=turn_messages.Turn
+    )
 
 
 class TurnCache:
-  """Turns in memory, kept for as long as they may be continued."""
+  """Cache of turns, each kept for its retention time."""
 
   def __init__(self) -> None:
     self._turn_by_request: dict[str, turn_messages.Turn] = {}
@@ -85,23 +88,23 @@
     return len(self._turn_by_request)
 
   def get(self, request: str) -> turn_messages.Turn | None:
-    """Returns a turn that is kept."""
+    """Returns a cached turn, or None if it is not cached."""
     return self._turn_by_request.get(request)
 
   def get_all(self) -> list[turn_messages.Turn]:
-    """Returns all turns that are kept."""
+    """Returns all cached turns."""
     return list(self._turn_by_request.values())
 
   def put(self, turn: turn_messages.Turn) -> None:
-    """Keeps a turn."""
+    """Adds a turn, or replaces it and restarts its retention time."""
     self._turn_by_request[turn.request] = turn
     self._until_by_request[turn.request] = time.monotonic() + turn.retention
 
   def expire(self) -> None:
-    """Drops the turns whose time is over."""
+    """Evicts the turns whose retention time is over."""
     now = time.monotonic()
-    over = [r for r, until in self._until_by_request.items() if until < now]
-    for request in over:
+    expired = [r for r, until in self._until_by_request.items() if until < now]
+    for request in expired:
       del self._until_by_request[request]
       del self._turn_by_request[request]
 
@@ -109,14 +112,14 @@
 async def gather(
   names: Iterable[str], *, cache: TurnCache, store: TurnStore
 ) -> list[turn_messages.Turn | None]:
-  """Returns the turns of some ids, None for each that nobody has."""
-  slots = asyncio.Semaphore(PARALLEL_READS)
+  """Returns the turns with the given ids, None for each that is not found."""
+  semaphore = asyncio.Semaphore(MAX_PARALLEL_READS)
 
   async def find(request: str) -> turn_messages.Turn | None:
     known = cache.get(request)
     if known is not None:
       return known
-    async with slots:
+    async with semaphore:
       turn = await store.read(request)
     if turn is not None:
       cache.put(turn)
@@ -125,10 +128,10 @@
   return list(await asyncio.gather(*(find(name) for name in names)))
 
 
-def _get_name(request: str, number: int) -> str:
+def _get_row_name(request: str, number: int) -> str:
   return f'{request}/{number}' if number else request
 
 
-def _get_number(name: str) -> int:
+def _get_piece_number(name: str) -> int:
   _, _, number = name.partition('/')
   return int(number or 0)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -230,7 +230,7 @@
 ):
   """Its first turns come in through two domains."""
   monkeypatch.setattr(store_access.StoreAccess, 'is_slow', True)
-  monkeypatch.setattr(flusher, 'FLUSH_SECONDS', 5.0)
+  monkeypatch.setattr(flusher, 'FLUSH_INTERVAL_SECONDS', 5.0)
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
 
--- a/tests/test_cut_domains.py
+++ b/tests/test_cut_domains.py
@@ -22,7 +22,9 @@
   chosen = [
     tuple(program_copies.choose_domains(f'p{n}', others)) for n in range(400)
   ]
-  assert {len(set(found)) for found in chosen} == {program_copies.MOST_DOMAINS}
+  assert {len(set(found)) for found in chosen} == {
+    program_copies.MAX_REMOTE_DOMAINS
+  }
   count_by_domain = collections.Counter(d for found in chosen for d in found)
   assert min(count_by_domain.values()) > 150
   again = program_copies.choose_domains('p7', reversed(others))
--- a/tests/test_two_owners.py
+++ b/tests/test_two_owners.py
@@ -190,7 +190,9 @@
   async with nodes.Nodes() as fleet:
     owner, _ = await lose_the_owner(fleet)
     again = fleet.by_name[owner]
-    again.programs._find = lambda ask, *, is_new: begin_from_row(again, ask)
+    again.programs._load_entry = lambda ask, *, is_new: begin_from_row(
+      again, ask
+    )
     await fleet.turn(owner, 'c', most=10, budget=306)
     await nodes.wait_until(
       lambda: again.programs.entry_by_program['p'].ledger.spent >= 42 * 6
@@ -200,7 +202,7 @@
 async def begin_from_row(daemon, ask):
   """Returns a program as a daemon finds it that takes itself for settled."""
   return program_rows.Entry(
-    program=ask.program, ledger=daemon.programs._rows.make(), is_guess=True
+    program=ask.program, ledger=daemon.programs._rows.make(), is_unverified=True
   )
 
 
