--- a/src/woadrun/process/copy_intake.py
+++ b/src/woadrun/process/copy_intake.py
@@ -92,7 +92,7 @@
     if not self._copies.is_first(copy.program):
       self._copies.send_in_background(self._entry_by_program[copy.program], ())
 
-  def receive_far_copy(self, data: bytes) -> None:
+  def receive_remote_copy(self, data: bytes) -> None:
     """Applies a copy that an owner in another domain sent in a datagram."""
     copy = program_copies.decode_datagram(data)
     if copy is not None:
@@ -147,7 +147,7 @@
   def apply_remote_copy(self, copy: turn_messages.LedgerCopy) -> bool:
     """Returns whether a copy from another domain replaced the local entry.
 
-    Spending in this domain is counted on top of the copy. The row in the store
+    Spending in this domain is counted on top of the copy.  The row in the store
     belongs to the home domain: the failed condition of a write from this domain
     returns that row, and the changes are rebased onto it.
     """
--- a/src/woadrun/process/flusher.py
+++ b/src/woadrun/process/flusher.py
@@ -22,17 +22,17 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Interval between checks for unsaved state. Each check wakes the process, so
+# Interval between checks for unsaved state.  Each check wakes the process, so
 # that the checks are no more frequent than an outage requires.
 FLUSH_INTERVAL_SECONDS = 0.25
-# Time without a call after which a settled program is written on its own. The
+# Time without a call after which a settled program is written on its own.  The
 # tokens of a turn otherwise replace its reservation with the write of the next
-# turn's reservation. Written at once, they took one more call to the store for
+# turn's reservation.  Written at once, they took one more call to the store for
 # each turn.
 SETTLE_DELAY_SECONDS = 1.5
 MAX_PARALLEL_WRITES = 16
 # Flushes with the store reachable before a daemon asks about turns that another
-# daemon should have stored. That is well within the second or two that all
+# daemon should have stored.  That is well within the second or two that all
 # daemons may have until they are lost together.
 FLUSHES_BEFORE_QUERY = 3
 # Timeout for the query which turns a member has stored; a member that does not
@@ -43,9 +43,9 @@
 class Flusher(mode.Service):
   """Writes unsaved turns and ledgers once the store is reachable.
 
-  `entry_by_program` and `unsaved` are those of the daemon's programs. Up to
+  `entry_by_program` and `unsaved` are those of the daemon's programs.  Up to
   five daemons keep a turn of an outage: the member that ranks first in the
-  turn's domain stores it, and the others ask that member. When all of them
+  turn's domain stores it, and the others ask that member.  When all of them
   stored it, the store refused other calls for exceeding its rate after the
   outage.
   """
--- a/src/woadrun/process/histories.py
+++ b/src/woadrun/process/histories.py
@@ -21,8 +21,8 @@
   if not parent:
     return turn_messages.OpenedTurn()
   try:
-    last = (await _gather((parent,), cache, store))[0]
-    turns = [*await _gather(last.line, cache, store), last]
+    last = (await _load_turns((parent,), cache, store))[0]
+    turns = [*await _load_turns(last.line, cache, store), last]
   except errors.WoadrunError as error:
     if error.code is not errors.Code.PLATFORM_UNAVAILABLE:
       raise
@@ -56,12 +56,12 @@
   )
 
 
-async def _gather(
+async def _load_turns(
   names: tuple[str, ...],
   cache: turn_store.TurnCache,
   store: turn_store.TurnStore,
 ) -> list[turn_messages.Turn]:
-  found = await turn_store.gather(names, cache=cache, store=store)
+  found = await turn_store.load_turns(names, cache=cache, store=store)
   turns = [turn for turn in found if turn is not None]
   if len(turns) < len(found):
     raise errors.WoadrunError(
--- a/src/woadrun/process/program_copies.py
+++ b/src/woadrun/process/program_copies.py
@@ -42,8 +42,8 @@
 # standby before the last change of members.
 MAX_QUERIED_MEMBERS = 3
 # Other domains that get a copy of each turn: each copy takes processor time at
-# both ends. In regions of five domains, a domain behind a network partition can
-# continue half of the others' programs.
+# both ends.  In regions of five domains, a domain behind a network partition
+# can continue half of the others' programs.
 MAX_REMOTE_DOMAINS = 2
 
 
@@ -329,7 +329,7 @@
 def _encode_datagram(copy: turn_messages.LedgerCopy) -> bytes | None:
   """Returns a copy encoded as a datagram, or None if it has to be a request.
 
-  A request takes a connection and an answer, which nothing waits for here. A
+  A request takes a connection and an answer, which nothing waits for here.  A
   copy with turns that are not in the store is sent as a request, since those
   must not be lost; so is a copy that is too large.
   """
--- a/src/woadrun/process/program_rows.py
+++ b/src/woadrun/process/program_rows.py
@@ -33,19 +33,19 @@
   """A program in memory.
 
   `unconfirmed_writes` are the ids of writes that may have been applied although
-  no answer arrived. `offline_known` is the spending that other domains know
+  no answer arrived.  `offline_known` is the spending that other domains know
   while the store is unreachable; this domain may spend a share of the rest.
   `min_reported_spent` is the lowest spending reported to other domains since
-  they were last asked to count it; `report_lock` is held meanwhile. `home_copy`
-  is the latest copy from the home domain if that is another one; the store may
-  lack what it holds. `uninformed_domains` are the other domains that may not
-  know a program that started here. `partition_limit` bounds the spending of
-  this domain while another domain may spend without the store. `needs_flush`
-  says that the row should be written without waiting for the next call.
-  `is_copy` says that the latest update came from another daemon;
+  they were last asked to count it; `report_lock` is held meanwhile.
+  `home_copy` is the latest copy from the home domain if that is another one;
+  the store may lack what it holds.  `uninformed_domains` are the other domains
+  that may not know a program that started here.  `partition_limit` bounds the
+  spending of this domain while another domain may spend without the store.
+  `needs_flush` says that the row should be written without waiting for the next
+  call.  `is_copy` says that the latest update came from another daemon;
   `local_decisions` has the turns that this daemon decided on itself and that
-  the row does not count yet. `is_unverified` says that neither the store nor a
-  daemon was asked yet whether the program is new. Until
+  the row does not count yet.  `is_unverified` says that neither the store nor a
+  daemon was asked yet whether the program is new.  Until
   `undetected_partition_until`, on the monotonic clock, a network partition may
   have begun undetected and the program may have started in another domain too.
   `prefixes` records which instances read which prompts.
@@ -148,7 +148,9 @@
     # The previous owner may have stopped before it settled turns that had
     # completed.
     names = list(found.saved.reserved)
-    turns = await turn_store.gather(names, cache=self._cache, store=self._turns)
+    turns = await turn_store.load_turns(
+      names, cache=self._cache, store=self._turns
+    )
     for turn in turns:
       if turn is not None:
         found.settle(turn.request, turn.tokens)
--- a/src/woadrun/process/programs.py
+++ b/src/woadrun/process/programs.py
@@ -1,9 +1,9 @@
 """Owner and standby roles of this daemon for the budgets of programs.
 
 A program has an owner in its home domain, chosen by rendezvous hashing, and the
-member ranked next is its standby. While the store is reachable, having one
+member ranked next is its standby.  While the store is reachable, having one
 owner is an optimization only: each reservation is a conditional write, so a
-second owner cannot overspend the budget. While the store is unreachable, the
+second owner cannot overspend the budget.  While the store is unreachable, the
 owner continues without it: a decision is valid once the standby has
 acknowledged it, and the owner writes it to the store when the store is
 reachable again.
@@ -44,7 +44,7 @@
 # only if the store says so.
 STARTUP_WINDOW_SECONDS = 20.0
 # Time in which a network partition may go undetected: until a call to the store
-# fails and an unreachable domain counts as silent. A program that starts in
+# fails and an unreachable domain counts as silent.  A program that starts in
 # this time may start on the other side of the partition too.
 PARTITION_DETECTION_SECONDS = 2.5
 MAX_PARALLEL_HANDOVERS = 16
@@ -106,10 +106,10 @@
     """Registers the handlers for copies and starts the flusher."""
     sent = self._members.datagrams
     sent.handle(datagrams.COPY, self.intake.receive_copy)
-    sent.handle(datagrams.FAR_COPY, self.intake.receive_far_copy)
+    sent.handle(datagrams.FAR_COPY, self.intake.receive_remote_copy)
     await self.add_runtime_dependency(self.flusher)
 
-  # --- The owner's part -----------------------------------------------------
+  # --- The owner's role -------------------------------------------------------
 
   async def open(
     self, ask: turn_messages.OpenTurn, *, is_new: bool = False
@@ -145,8 +145,8 @@
     is_slow = self._store.is_slow and has_standby
     if is_slow and not ask.is_away and has_row:
       # The standby acknowledges a hundred times sooner than a slow write, which
-      # delayed each turn by half a second. The store gets the reservation in
-      # the background. The end of a turn still waits for the store.
+      # delayed each turn by half a second.  The store gets the reservation in
+      # the background.  The end of a turn still waits for the store.
       await self._reservations.reserve_at_standby(entry, ask)
     else:
       is_new = entry.is_unverified
@@ -174,7 +174,7 @@
       await self._reservations.reserve(entry, ask)
     finally:
       if entry.is_unverified and not entry.ledger.spent:
-        # The next call asks the other members. A ledger with spent tokens must
+        # The next call asks the other members.  A ledger with spent tokens must
         # not be dropped: at the start of a network partition, programs that
         # retried in a loop got a new budget after each refusal.
         self.entry_by_program.pop(ask.program, None)
@@ -236,7 +236,7 @@
     return entry
 
   async def _merge_peer_copies(self, entry: program_rows.Entry) -> None:
-    # Without the store, a copy is not known to be the newest one. A third
+    # Without the store, a copy is not known to be the newest one.  A third
     # member with an older copy let a budget be exceeded.
     for copy in await self._copies.fetch(entry.program):
       entry.ledger.merge(program_copies.decode(copy))
@@ -247,8 +247,9 @@
   ) -> program_rows.Entry:
     is_settled = self._store.is_reached and self._members.is_settled
     if is_settled and not ask.parent and ask.begins:
-      # A first turn starts a program. If the program exists already, the failed
-      # condition of the first write returns its row, so no read is needed here.
+      # A first turn starts a program.  If the program exists already, the
+      # failed condition of the first write returns its row, so no read is
+      # needed here.
       return program_rows.Entry(
         program=ask.program,
         ledger=self._rows.make(),
@@ -310,7 +311,7 @@
     log.info('Program %s not read from the store: %s', ask.program, row.message)
     return views
 
-  # --- What the store lacks -------------------------------------------------
+  # --- Unsaved state ----------------------------------------------------------
 
   @property
   def is_owing(self) -> bool:
@@ -329,7 +330,7 @@
       for entry in self.entry_by_program.values()
     )
 
-  # --- A planned stop -------------------------------------------------------
+  # --- Planned stop -----------------------------------------------------------
 
   async def hand_over(self) -> None:
     """Sends the programs in use to the members that take over from this one.
--- a/src/woadrun/process/reservations.py
+++ b/src/woadrun/process/reservations.py
@@ -1,8 +1,8 @@
 """Reserves the tokens of a turn against the budget of its program.
 
 While the store is reachable, each reservation is a conditional write of one
-row. While it is unreachable, a share of the remaining budget may be spent once
-the standby acknowledges. The rest is kept for domains that may reach the store
+row.  While it is unreachable, a share of the remaining budget may be spent once
+the standby acknowledges.  The rest is kept for domains that may reach the store
 meanwhile, unless each of them counts the turn as well.
 """
 
@@ -159,9 +159,9 @@
     unsettled = self._find_unsettled(entry)
     if not unsettled:
       entry.partition_limit = None
-      # All domains are reachable again and their spending is in the store. When
-      # the limit of one partition was kept, other domains had nothing left to
-      # spend in the next partition.
+      # All domains are reachable again and their spending is in the store.
+      # When the limit of one partition was kept, other domains had nothing left
+      # to spend in the next partition.
       held.away_most = None
       return
     if entry.partition_limit is None:
@@ -252,7 +252,7 @@
   ) -> None:
     # An isolated daemon must not decide, because the other members of its
     # domain continue without it; nor must a daemon away from a home domain that
-    # is still heard. Both sides would spend the same tokens.
+    # is still heard.  Both sides would spend the same tokens.
     home = held.home
     is_away = home != self._members.me.domain
     if self._members.is_isolated or (
@@ -264,8 +264,8 @@
     """Returns whether a program may have started across a partition too.
 
     If so, the partition is undetected and the other side reserves no share for
-    this one, which then has only the one turn by which a budget may be overrun.
-    A program that is known to be split has a share of its own.
+    this one, which then has only the one turn by which a budget may be
+    overrun.  A program that is known to be split has a share of its own.
     """
     held = entry.ledger
     is_home = held.home == self._members.me.domain
@@ -318,10 +318,10 @@
       remaining = min(remaining, ask.most)
     most = known + remaining
     if held.saved.is_split and held.spent - ask.most < most:
-      # A program may overrun its budget by one turn. That turn is granted here,
-      # since most programs that may have started elsewhere have not: a quarter
-      # of the usual budget is less than the maximum of one turn, and their
-      # second turns were refused until the partition had healed.
+      # A program may overrun its budget by one turn.  That turn is granted
+      # here, since most programs that may have started elsewhere have not: a
+      # quarter of the usual budget is less than the maximum of one turn, and
+      # their second turns were refused until the partition had healed.
       return True
     return held.spent <= max(most, ask.most)
 
@@ -363,7 +363,7 @@
     return max(self._store.outage, self._members.get_silence())
 
   async def _report_spending(self, entry: program_rows.Entry) -> None:
-    # A partition is detected a second after it begins. A home domain that
+    # A partition is detected a second after it begins.  A home domain that
     # treated the whole rest as its own until then spent tokens of which the
     # side with the store had a share.
     held = entry.ledger
--- a/src/woadrun/process/sweeper.py
+++ b/src/woadrun/process/sweeper.py
@@ -1,7 +1,7 @@
 """Removes expired turns and programs from the store.
 
 Each daemon sweeps a share of the parts, assigned by rendezvous hashing, and
-reads one part at a time. Two daemons may sweep the same part safely.
+reads one part at a time.  Two daemons may sweep the same part safely.
 """
 
 from __future__ import annotations
--- a/src/woadrun/process/turn_store.py
+++ b/src/woadrun/process/turn_store.py
@@ -1,6 +1,6 @@
 """Finished turns in the store, and a cache of them in memory.
 
-A turn is found by its request id alone, by any daemon and for any program. A
+A turn is found by its request id alone, by any daemon and for any program.  A
 turn larger than a row is stored as several rows of one part, which are written
 together.
 """
@@ -109,7 +109,7 @@
       del self._turn_by_request[request]
 
 
-async def gather(
+async def load_turns(
   names: Iterable[str], *, cache: TurnCache, store: TurnStore
 ) -> list[turn_messages.Turn | None]:
   """Returns the turns with the given ids, None for each that is not found."""
--- a/tests/test_budget_in_a_cut.py
+++ b/tests/test_budget_in_a_cut.py
@@ -1,4 +1,4 @@
-"""A budget holds from the first moment of a cut to its end."""
+"""Tests that a budget holds throughout a network partition."""
 
 import nodes
 import pytest
@@ -7,95 +7,100 @@
 from woadrun.connection import turn_messages
 
 BUDGET = 306
-MOST = 10
-GIVEN = 6
+MAX_TURN_TOKENS = 10
+TURN_TOKENS = 6
 
 
 async def spend_all(fleet, name, prefix):
-  """Returns how many turns a daemon lets run before it refuses."""
+  """Returns how many turns a daemon grants before it refuses one."""
   for number in range(60):
     try:
-      await fleet.turn(name, f'{prefix}{number}', most=MOST, budget=BUDGET)
+      await fleet.turn(
+        name, f'{prefix}{number}', most=MAX_TURN_TOKENS, budget=BUDGET
+      )
     except errors.WoadrunError as error:
       assert error.status in (402, 503)
       return number
-  raise AssertionError('Nothing was refused.')
+  raise AssertionError('no turn was refused within the limit')
 
 
-async def begin(fleet, name, turns):
-  """Returns how many turns a program ran, with its home at a daemon."""
+async def run_turns(fleet, name, turns):
+  """Returns `turns` after that many turns; their daemon is the home."""
   for number in range(turns):
-    await fleet.turn(name, f'begin{number}', most=MOST, budget=BUDGET)
+    await fleet.turn(
+      name, f'begin{number}', most=MAX_TURN_TOKENS, budget=BUDGET
+    )
   return turns
 
 
 async def wait_for_silence(*daemons):
-  """Returns once each of the daemons misses another domain."""
+  """Returns once each of the daemons finds another domain silent."""
   await nodes.wait_until(lambda: all(d.fleet.find_silent() for d in daemons))
 
 
 @pytest.mark.parametrize('before', [3, 12])
-async def test_a_home_spends_no_more_than_its_part_before_it_knows_of_a_cut(
+async def test_a_home_spends_its_share_only_before_detecting_a_partition(
   before,
 ):
-  """A home that was cut off spent what the other side took its part of.
+  """A home domain overspends before it detects a network partition.
 
   A domain that is cut off loses the store at once and finds the others silent
-  1.4 s later.  In between its daemons took all that was left of a budget for
-  their own, since no domain counted as silent, while the side with the store
-  spent half of it.  In a fleet of 66 VMs a program was given 1,500 of 864 in
-  this way.  Logs of a run like it show 61 turns within those 1.4 s, "may run
-  without the store", of one program with 552, 840, 1,128, 1,416 and 1,704 spent
-  or set aside within 10 ms.  Here 432 and 408 of 306 were given.
+  1.4 s later.  In between, its daemons considered no domain silent and took the
+  whole rest of a budget, while the side with the store spent half of it.  In a
+  fleet of 66 VMs a program was given 1,500 of 864 tokens.  Logs of a similar
+  run show 61 turns granted without the store within those 1.4 s, and one
+  program with 552, 840, 1,128, 1,416 and 1,704 tokens spent or reserved within
+  10 ms.  In this test 432 and 408 of 306 were given.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
-    ran = [await begin(fleet, 's1', before)]
+    ran = [await run_turns(fleet, 's1', before)]
     fleet.cut_off('south')
     ran.append(await spend_all(fleet, 's1', 'unnoticed'))
     await wait_for_silence(*fleet.by_name.values())
     for name in ('n1', 's1'):
       ran.append(await spend_all(fleet, name, name))
-    assert sum(ran) * GIVEN <= BUDGET + MOST
+    assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
 
 
-async def test_what_a_domain_was_told_counts_when_the_store_does_not_have_it():
-  """A far domain that read a row forgot what the home had told it.
+async def test_reported_spending_counts_although_the_store_lacks_it():
+  """A remote domain drops spending that the home domain reported to it.
 
-  The store was out for all, and the home spent most of a budget; each turn was
-  told to the other domain.  Then the home was cut off, and the store came back
-  for the other side only: it read the row, which had none of those turns, and
-  took half of what that left: 504 of 306 were given.
+  The home domain spent most of a budget while the store was unreachable for
+  all, and reported each turn to the other domain.  Then the home domain was cut
+  off, and the store came back for the other side only.  That side read the row,
+  which had none of those turns, and took half of what the row left: 504 of 306
+  were given.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
-    ran = [await begin(fleet, 's1', 1)]
+    ran = [await run_turns(fleet, 's1', 1)]
     fleet.shared.is_out = True
     south, north = fleet.by_name['s1'], fleet.by_name['n1']
     await nodes.wait_until(
       lambda: not (south.store.is_reached or north.store.is_reached)
     )
-    ran.append(await begin_more(fleet, 's1', 40))
+    ran.append(await run_more_turns(fleet, 's1', 40))
     fleet.cut_off('south')
     fleet.shared.is_out = False
     await wait_for_silence(north, south)
     await nodes.wait_until(lambda: north.store.is_direct)
     for name in ('n1', 's1'):
       ran.append(await spend_all(fleet, name, name))
-    assert sum(ran) * GIVEN <= BUDGET + MOST
+    assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
 
 
-async def test_a_cut_that_heals_as_the_store_goes_out_leaves_one_budget():
-  """A home had the rest of a budget again without knowing what was spent.
+async def test_a_partition_healing_as_the_store_fails_leaves_one_budget():
+  """A home domain takes the whole rest after a partition heals.
 
-  The side with the store spent its half during a cut, which the row tells.  As
-  the cut healed, the store went out for all: everybody was in sight and owed
-  nothing, so that the home, which had not read the row since, took the whole:
-  432 of 306 were given.
+  The side with the store spent its half during a network partition, as the row
+  records.  As the partition healed, the store became unreachable for all: no
+  domain was silent and none had unsaved spending, so the home domain, which had
+  not read the row since, took the whole rest: 432 of 306 were given.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
-    ran = [await begin(fleet, 's1', 3)]
+    ran = [await run_turns(fleet, 's1', 3)]
     south, north = fleet.by_name['s1'], fleet.by_name['n1']
     fleet.cut_off('south')
     await wait_for_silence(north, south)
@@ -108,16 +113,16 @@
       lambda: not (south.fleet.find_unsettled() or north.fleet.find_unsettled())
     )
     ran.append(await spend_all(fleet, 's1', 'healed'))
-    assert sum(ran) * GIVEN <= BUDGET + MOST
+    assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
 
 
-async def test_a_program_begun_before_a_cut_is_noticed_has_one_budget():
-  """A program was begun anew where nobody could have heard of it.
+async def test_a_program_started_before_partition_detection_has_one_budget():
+  """A program is started again in a domain that cannot know of it.
 
-  Its home, which had the store, did not know yet that the other domain was cut
-  off, and let it spend the whole budget at once.  The other domain, which knew
-  nothing of the program, gave it a part and one turn beyond: 444 of 306 were
-  given.
+  The home domain, which had the store, had not detected yet that the other
+  domain was cut off, and granted the whole budget at once.  The other domain
+  did not know the program and granted it a share and one turn more: 444 of 306
+  were given.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
@@ -126,50 +131,50 @@
     await wait_for_silence(*fleet.by_name.values())
     for name in ('s1', 'n1'):
       ran.append(await spend_all(fleet, name, name))
-    assert sum(ran) * GIVEN <= BUDGET + MOST
+    assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
 
 
-async def begin_more(fleet, name, turns):
-  """Returns how many further turns a program ran."""
+async def run_more_turns(fleet, name, turns):
+  """Returns `turns` after that many further turns of the program."""
   for number in range(turns):
-    await fleet.turn(name, f'more{number}', most=MOST, budget=BUDGET)
+    await fleet.turn(name, f'more{number}', most=MAX_TURN_TOKENS, budget=BUDGET)
   return turns
 
 
-async def test_a_domain_cut_off_has_one_turn_where_the_home_spends_all():
-  """A home with the store spent the part of a domain that it still believed in.
+async def test_a_partitioned_domain_gets_one_turn_when_the_home_spends_all():
+  """A home domain with the store spends the share of a domain cut off.
 
-  One of two domains was cut off.  The home, which had the store, did not know
-  that yet and spent the whole budget; the other domain then had half of what
-  was left by its own word: 444 of 306 were given.
+  One of two domains was cut off.  The home domain, which had the store, had not
+  detected that yet and spent the whole budget; the other domain then granted
+  itself half of what it knew to be left: 444 of 306 were given.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
-    ran = [await begin(fleet, 'n1', 1)]
+    ran = [await run_turns(fleet, 'n1', 1)]
     fleet.cut_off('south')
     ran.append(await spend_all(fleet, 'n1', 'unnoticed'))
     await wait_for_silence(*fleet.by_name.values())
     for name in ('n1', 's1'):
       ran.append(await spend_all(fleet, name, name))
-    assert sum(ran) * GIVEN <= BUDGET + MOST
+    assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
 
 
-async def test_what_a_domain_spent_without_the_store_outlasts_its_daemons():
-  """A domain whose daemons were all lost forgot what it had spent.
+async def test_unsaved_spending_survives_the_loss_of_a_domain():
+  """A domain forgets its spending when all of its daemons are lost.
 
-  The store was out, so that what turns were given was known to the daemons of
-  the home, and to the other domain that was told.  All daemons of the home were
-  killed and started again; they asked each other and the store, not the other
-  domain, and had the budget anew.
+  The store was unreachable, so that only the daemons of the home domain and the
+  other domain, which got reports, knew the spending.  All daemons of the home
+  domain were killed and restarted; they asked each other and the store, but not
+  the other domain, and granted the budget again.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1', 's2')
-    ran = [await begin(fleet, 's1', 1)]
+    ran = [await run_turns(fleet, 's1', 1)]
     fleet.shared.is_out = True
     await nodes.wait_until(
       lambda: not any(d.store.is_reached for d in fleet.by_name.values())
     )
-    ran.append(await begin_more(fleet, 's1', 40))
+    ran.append(await run_more_turns(fleet, 's1', 40))
     north = fleet.by_name['n1'].programs
     await nodes.wait_until(lambda: north.cache.get('more39') is not None)
     for name in ('s1', 's2'):
@@ -186,10 +191,10 @@
       )
     )
     ran.append(await spend_all(fleet, 's3', 'again'))
-    assert sum(ran) * GIVEN <= BUDGET + MOST
+    assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
 
 
-async def test_a_program_without_a_budget_goes_on_away_from_its_home():
+async def test_a_program_without_budget_continues_away_from_its_home():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a', budget=None)
@@ -201,17 +206,18 @@
       await fleet.turn('s1', f'b{number}', parent='a', budget=None)
 
 
-async def test_an_answer_that_only_names_a_home_is_no_leave():
-  """Turns ran that nobody had counted.
+async def test_an_answer_that_only_names_a_home_grants_no_turn():
+  """Turns run without any domain counting them.
 
-  A daemon that knew nothing of a program, and whose peers were silent, meant to
-  begin it; the store was back by then and named another domain as its home.
-  That answer was taken for leave, so that the turn ran without a reservation:
-  four of them in a row after a cut, 93 given of 72 and 9.
+  A daemon that did not know a program, and whose peers did not answer, tried to
+  start it.  By then the store was back and named another domain as the home
+  domain.  That answer was taken for a grant, so the turn ran without a
+  reservation: four turns in a row after a network partition, 93 tokens given of
+  72 and 9.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
-    await begin(fleet, 'n1', 1)
+    await run_turns(fleet, 'n1', 1)
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
     south.programs.entry_by_program.clear()
     leave = south.serving._leave
@@ -224,26 +230,28 @@
       return await open_in(domain, ask)
 
     leave._open_in = miss_once
-    await fleet.turn('s1', 'b', most=MOST, budget=BUDGET)
+    await fleet.turn('s1', 'b', most=MAX_TURN_TOKENS, budget=BUDGET)
     await nodes.wait_until(
-      lambda: north.programs.entry_by_program['p'].ledger.spent == 2 * GIVEN
+      lambda: (
+        north.programs.entry_by_program['p'].ledger.spent == 2 * TURN_TOKENS
+      )
     )
 
 
-async def test_a_program_that_has_a_home_is_not_begun_anew_beside_it():
-  """A domain began a program that it had just been told has a home elsewhere.
+async def test_a_program_with_a_known_home_is_not_started_elsewhere():
+  """A domain starts a program of which it knows a home elsewhere.
 
-  It began in an outage, so that the store had no row of it yet.  The home was
-  out of reach; the first member of this domain, which knew of the program,
-  refused, and the next one took the missing row for a new program: 150 of 120
-  were given.
+  The program started in an outage, so the store had no row of it yet, and its
+  home domain was unreachable.  The first member of this domain, which knew the
+  program, refused, and the next one took the missing row for a new program: 150
+  of 120 were given.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     fleet.cut.add('north')
     leave = fleet.by_name['s1'].serving._leave
     ask = turn_messages.OpenTurn(
-      program='p', request='a', most=MOST, budget=BUDGET
+      program='p', request='a', most=MAX_TURN_TOKENS, budget=BUDGET
     )
     with pytest.raises(errors.WoadrunError) as caught:
       await leave._open_at_home(ask, turn_messages.OpenedTurn(home='north'))
--- a/tests/test_cut_domains.py
+++ b/tests/test_cut_domains.py
@@ -1,4 +1,4 @@
-"""A domain that is cut off goes on, and no budget is spent twice."""
+"""Tests that a domain behind a partition serves turns within its share."""
 
 import collections
 
@@ -17,7 +17,7 @@
 from woadrun.version import spending
 
 
-def test_copies_go_to_few_domains_all_alike_and_the_same_for_a_program():
+def test_copies_go_to_few_domains_evenly_and_stably():
   others = ['a', 'b', 'c', 'd']
   chosen = [
     tuple(program_copies.choose_domains(f'p{n}', others)) for n in range(400)
@@ -32,14 +32,14 @@
   assert program_copies.choose_domains('p', ['a']) == ['a']
 
 
-async def tell_far(fleet, name, request):
-  """Returns once a daemon of another domain has a turn."""
+async def wait_for_remote_copy(fleet, name, request):
+  """Returns once a daemon of another domain has a copy of a turn."""
   cache = fleet.by_name[name].programs.cache
   await nodes.wait_until(lambda: cache.get(request) is not None)
 
 
-async def cut_off(fleet, name):
-  """Leaves one daemon alone without the store."""
+async def stop_others(fleet, name):
+  """Returns a daemon after stopping all others and the store."""
   fleet.shared.is_out = True
   for other in [n for n in fleet.by_name if n != name]:
     await fleet.stop(other)
@@ -53,18 +53,18 @@
   return alone
 
 
-async def test_a_domain_cut_off_goes_on_with_programs_of_others():
+async def test_a_partitioned_domain_continues_programs_of_others():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
     await fleet.turn('n2', 'b', parent='a')
-    await tell_far(fleet, 's1', 'a')
-    await tell_far(fleet, 's1', 'b')
-    south = await cut_off(fleet, 's1')
+    await wait_for_remote_copy(fleet, 's1', 'a')
+    await wait_for_remote_copy(fleet, 's1', 'b')
+    south = await stop_others(fleet, 's1')
     await fleet.turn('s1', 'c', parent='b')
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
     assert south.programs.is_owing
-    # The store learns what was spent, on top of what it knew.
+    # The store gets the spending, on top of what it already counts.
     fleet.shared.is_out = False
     await nodes.wait_until(
       lambda: not south.programs.is_owing and not south.programs.unsaved
@@ -76,7 +76,7 @@
     assert north.programs.entry_by_program['p'].ledger.spent == 4 * 6
 
 
-async def test_the_last_daemon_of_a_domain_goes_on_while_it_hears_others():
+async def test_the_last_daemon_of_a_domain_continues_while_it_hears_others():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
     await fleet.turn('n1', 'a')
@@ -90,12 +90,12 @@
     assert fleet.get_body('b') == b'<a>a-0\na-1\n<b>'
 
 
-async def test_a_domain_cut_off_spends_its_part_only():
+async def test_a_partitioned_domain_spends_its_share_only():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a', most=10, budget=106)
-    await tell_far(fleet, 's1', 'a')
-    await cut_off(fleet, 's1')
+    await wait_for_remote_copy(fleet, 's1', 'a')
+    await stop_others(fleet, 's1')
     done = 0
     with pytest.raises(errors.WoadrunError) as caught:
       for number in range(20):
@@ -105,7 +105,7 @@
     assert 0 < done * 6 <= (106 - 6) * shares.get_lone_share(2)
 
 
-async def test_the_home_leaves_a_silent_domain_its_part():
+async def test_the_home_reserves_the_share_of_a_silent_domain():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a', most=10, budget=106)
@@ -120,7 +120,8 @@
         done += 1
     assert caught.value.status == 503
     assert 0 < done * 6 <= (106 - 6) / 2
-    # Once it is back and owes nothing, the whole budget is free.
+    # Once the domain is back and has no unsaved spending, the whole budget may
+    # be spent.
     await fleet.start_alone('s1', address=address)
     await nodes.wait_until(lambda: not north.fleet.find_unsettled())
     await fleet.turn('n1', 'later', most=10, budget=106)
@@ -130,8 +131,9 @@
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 'n3')
     await fleet.turn('n1', 'a')
-    # The others may go on with the store: this one cannot know.
-    await cut_off(fleet, 'n1')
+    # The other members may continue with the store, which this daemon cannot
+    # know.
+    await stop_others(fleet, 'n1')
     with pytest.raises(errors.WoadrunError) as caught:
       await fleet.turn('n1', 'b', parent='a')
     assert caught.value.status == 503
@@ -146,10 +148,10 @@
   with_store=strategies.integers(min_value=-1, max_value=4),
 )
 @hypothesis.settings(derandomize=True)
-def test_all_sides_together_never_spend_more_than_the_whole(
+def test_the_shares_of_all_sides_never_exceed_the_whole(
   sides, home, with_store
 ):
-  """`sides` says on which side of a cut each domain is."""
+  """`sides` says on which side of a network partition each domain is."""
   home %= len(sides)
   total = 0.0
   for side in set(sides):
@@ -163,12 +165,12 @@
       domains=len(sides),
       unsettled=len(others),
     )
-    # Without the store each domain but the home spends a part of its own.
+    # Without the store, each domain but the home domain spends its own share.
     total += share if has_store or is_home else share * len(members)
   assert total <= 1 + 1e-9
 
 
-async def test_a_program_begun_on_both_sides_of_a_cut_keeps_its_budget():
+async def test_a_program_started_on_both_sides_keeps_its_budget():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     fleet.view_by_name['s1'].is_cut = True
@@ -184,16 +186,16 @@
     assert sum(ran) * 6 <= 306 + 10
 
 
-async def test_a_program_that_begins_as_a_cut_begins_keeps_its_budget():
+async def test_a_program_started_as_a_partition_begins_keeps_its_budget():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
-    # The cut: neither side knows of it yet.
+    # The partition begins, and neither side has detected it yet.
     fleet.view_by_name['s1'].is_cut = True
     south.store._find_relays = list
     for daemon in (north, south):
       daemon.fleet.datagrams.handle(datagrams.FAR_COPY, lambda data: None)
-      daemon._handler_by_path['program/far'] = refuse
+      daemon._handler_by_path['program/far'] = refuse_message
     names, statuses = ('n1', 's1'), (402, 503)
     ran = [
       await spend_all(fleet, name, name, statuses=statuses) for name in names
@@ -211,11 +213,12 @@
     assert sum(ran) * 6 <= 306 + 10
 
 
-async def test_what_was_spent_as_a_cut_began_is_not_left_for_both_sides():
+async def test_spending_as_a_partition_begins_is_not_shared_again():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
-    # The cut: nothing reaches the south, and the home does not know it yet.
+    # The partition begins: nothing reaches the south, and the home domain has
+    # not detected it yet.
     fleet.view_by_name['s1'].is_cut = True
     south.fleet.datagrams.handle(datagrams.FAR_COPY, lambda data: None)
     south.fleet.is_silent = lambda domain: domain == 'north'
@@ -233,7 +236,7 @@
     assert (before + sum(ran)) * 6 <= 306 + 10
 
 
-def test_what_others_know_to_be_spent_stays_spent_in_a_cut():
+def test_spending_known_to_others_stays_known_in_a_partition():
   seen = spending.Spending()
   assert seen.get_known(now=0.0) == 0
   seen.note(100, now=10.0)
@@ -244,7 +247,7 @@
   assert [seen.get_known(now=at) for at in (14.9, 15.2)] == [300, 250]
   seen.note(500, now=20.0)
   assert seen.get_known(now=20.0) == 400
-  # Nothing has been told since a cut began.
+  # Other domains have received nothing since a partition began.
   assert [seen.get_known(now=20.0, lasted=at) for at in (5.0, 6.0)] == [
     250,
     300,
@@ -253,12 +256,12 @@
   assert len(seen._marks) == 2
 
 
-async def test_domains_that_each_name_the_other_as_home_lose_no_history():
-  """Both began the program while one of them was cut off."""
+async def test_domains_that_name_each_other_as_home_lose_no_history():
+  """Both domains started the program while one of them was cut off."""
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a')
-    await tell_far(fleet, 's1', 'a')
+    await wait_for_remote_copy(fleet, 's1', 'a')
     for name, other in (('n1', 'south'), ('s1', 'north')):
       fleet.by_name[name].programs.entry_by_program['p'].ledger.home = other
     for name, request in (('n1', 'b'), ('s1', 'c')):
@@ -267,11 +270,11 @@
       assert fleet.get_body(request) == expected
 
 
-async def test_a_copy_from_afar_does_not_undo_that_this_domain_is_the_home():
+async def test_a_remote_copy_does_not_change_the_home_of_a_home_domain():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a')
-    await tell_far(fleet, 's1', 'a')
+    await wait_for_remote_copy(fleet, 's1', 'a')
     north = fleet.by_name['n1'].programs
     south = fleet.by_name['s1'].programs
     entry = south.entry_by_program['p']
@@ -286,32 +289,32 @@
     assert mine.ledger.home == 'north'
 
 
-async def test_a_history_that_a_copy_has_does_not_cross_domains_again():
+async def test_a_cached_history_is_not_fetched_from_another_domain():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a')
-    await tell_far(fleet, 's1', 'a')
+    await wait_for_remote_copy(fleet, 's1', 'a')
     asked = []
     find = histories.find
 
-    async def counted(parent, **options):
+    async def find_counted(parent, **options):
       asked.append(parent)
       return await find(parent, **options)
 
-    histories.find = counted
+    histories.find = find_counted
     try:
       await fleet.turn('s1', 'b', parent='a')
     finally:
       histories.find = find
     assert asked == []
     assert fleet.get_body('b') == b'<a>a-0\na-1\n<b>'
-    # What the copy lacks comes from the home, whole.
+    # The turn that is missing here comes from the home domain.
     fleet.by_name['s1'].programs.cache._turn_by_request.pop('a')
     await fleet.turn('s1', 'c', parent='b')
     assert fleet.get_body('c') == b'<a>a-0\na-1\n<b>b-0\nb-1\n<c>'
 
 
-async def test_a_daemon_tells_whom_it_does_not_hear():
+async def test_a_daemon_reports_silent_domains():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
@@ -319,28 +322,28 @@
     await nodes.wait_until(lambda: north.fleet.find_unsettled() == {'south'})
 
 
-async def refuse(body):
-  """Answers a message as if it had not come."""
+async def refuse_message(body):
+  """Answers a message with an error, as if it had not arrived."""
   lost = errors.WoadrunError(errors.Code.OWNER_UNAVAILABLE, 'Cut off.')
   return peer_messages.Reply(status=lost.status, body=lost.get_body())
 
 
 async def spend_all(fleet, name, prefix, *, statuses=(503,)):
-  """Returns how many turns a daemon lets run before it refuses."""
+  """Returns how many turns a daemon grants before it refuses one."""
   for number in range(60):
     try:
       await fleet.turn(name, f'{prefix}{number}', most=10, budget=306)
     except errors.WoadrunError as error:
       assert error.status in statuses
       return number
-  raise AssertionError('Nothing was refused.')
+  raise AssertionError('no turn was refused within the limit')
 
 
-async def test_a_second_cut_finds_a_part_of_its_own():
+async def test_a_second_partition_gets_a_new_share():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     await fleet.turn('n1', 'a', most=10, budget=306)
-    await tell_far(fleet, 's1', 'a')
+    await wait_for_remote_copy(fleet, 's1', 'a')
     address = fleet.by_name['n1'].config.peers_address
     south = fleet.by_name['s1']
     spent = []
@@ -357,7 +360,7 @@
           and not south.fleet.find_unsettled()
         )
       )
-      # The home says that all are back.
+      # The home domain finds all domains reachable again.
       await fleet.turn('n1', f'{cut}-end', most=10, budget=306)
     first, second = spent
     assert 0 < first * 6 <= 300 / 2
