--- a/src/woadrun/process/program_copies.py
+++ b/src/woadrun/process/program_copies.py
@@ -25,7 +25,8 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Timeout for the acknowledgement of a standby; the next member is tried then.
+# Timeout for a standby's acknowledgement of a copy, after which the next member
+# is tried, and for a member's answer to a query.
 COPY_TIMEOUT_SECONDS = 0.6
 # Timeout for a member of another domain that is asked to count the spending;
 # the next member is tried then.
@@ -36,7 +37,7 @@
 # callers whose turns depend on that domain are refused at once meanwhile.
 DOMAIN_BACKOFF_SECONDS = 0.5
 # Copies that may be sent in the background at a time; further ones are dropped,
-# since the store has what they hold.
+# since the store or the standby has what they hold.
 MAX_BACKGROUND_COPIES = 256
 # Members that are asked about a program that is new to this one: its owner and
 # standby before the last change of members.
