--- a/src/woadrun/request/calls.py
+++ b/src/woadrun/request/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as it travels, and the answer that is made for it."""
+"""Requests sent between daemons, and answers that are streamed to readers."""
 
 from __future__ import annotations
 
@@ -22,9 +22,12 @@
 class Call(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
   """A model call or a service call of a program.
 
-  `call` is `model` or `service`; `target` a model, or `service/action`.
-  `teams` are those that the caller's token may act for.  `ordinal` is the
-  place of the call in its program, 0 where the caller gives none.
+  `call` is `model` or `service`; `target` is the name of a model, or
+  `service/action`.  `teams` are the teams that the caller's token is
+  authorized for.  `ordinal` is the position of the call in its program,
+  counted from 1, or 0 if the caller gives none.  With `is_append` the
+  messages of the call are appended to the history of the program;
+  otherwise they include the history.
   """
 
   program: str
@@ -38,14 +41,21 @@
   is_append: bool = False
 
   def get_digest(self) -> str:
-    """Returns what two requests with the same id must share."""
+    """Returns a hash of the fields that requests with the same id share.
+
+    A request that reuses an id with another digest is a conflict.
+    """
     text = f'{self.call}|{self.target}|{self.repeatable}|{self.is_append}|'
     data = text.encode() + bytes(self.body)
     return hashlib.blake2b(data, digest_size=12).hexdigest()
 
 
 class Start(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """Asks for a new program.  `deadline` is in seconds, 0 for the row's."""
+  """A request to start a program.
+
+  `deadline` is in seconds from the start; 0 selects the deadline of the
+  team's configuration row.
+  """
 
   program: str
   team: str
@@ -56,13 +66,16 @@
   parent: str = ''
 
   def get_digest(self) -> str:
-    """Returns what two requests with the same id must share."""
+    """Returns a hash of the fields that requests with the same id share.
+
+    A request that reuses an id with another digest is a conflict.
+    """
     text = f'{self.team}|{self.kind}|{self.budget}|{self.parent}'
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
 
 class Steer(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """Asks for a program's state (`get`), history, end or cancellation."""
+  """A request to read (`get`), `end` or `cancel` a program."""
 
   program: str
   verb: str
@@ -73,31 +86,40 @@
 
 
 def split_program_id(program: str) -> tuple[str, int]:
-  """Returns the home domain and the slot that a program's id names."""
+  """Returns the domain and the slot encoded in a program's id.
+
+  Raises `unknown_program` if the id is malformed.
+  """
   match = _PROGRAM_ID.fullmatch(program)
   if match is None:
     raise errors.WoadrunError(
       errors.Code.UNKNOWN_PROGRAM,
-      'This is no id of a program.',
+      'The program id is malformed.',
       place='Woadrun-Program',
     )
   return match[1], int(match[2])
 
 
 def make_program_id(domain: str, slot: int, key: str) -> str:
-  """Returns the id of the program that the key starts: always the same."""
+  """Returns the id of the program that is started with a key.
+
+  The id depends on the arguments alone, so a retry yields the same id.
+  """
   suffix = hashlib.blake2b(key.encode(), digest_size=10).hexdigest()
   return f'{domain}.{slot:03d}.{suffix}'
 
 
 def check_request_id(request: str) -> str:
-  """Returns a request's id; a new one where the caller gave none."""
+  """Returns the id of a request, or a random one if the id is empty.
+
+  Raises `bad_request` if the id is malformed.
+  """
   if not request:
     return secrets.token_hex(12)
   if not _REQUEST_ID.fullmatch(request):
     raise errors.WoadrunError(
       errors.Code.BAD_REQUEST,
-      'Use up to 128 letters, digits, and _.:- as the id of a request.',
+      'A request id must be 1 to 128 letters, digits, or _.:- characters.',
       place='Idempotency-Key',
     )
   return request
@@ -107,15 +129,15 @@
 
 
 class StreamBroken(Exception):
-  """Raised to a reader whose answer was begun again from the start."""
+  """Raised to a reader of an answer that was restarted or interrupted."""
 
 
 class Answer:
-  """The answer of one request, being made or whole.
+  """The answer of one request, complete or still being written.
 
-  Any number of callers may read it, each from its first byte, whenever
-  they come.  An answer that is begun again breaks off its readers: no
-  caller gets parts of two answers.
+  Any number of readers may read the answer at any time, each from its
+  first byte.  When an answer is restarted, its readers get `StreamBroken`,
+  so that no caller receives parts of two answers.
   """
 
   def __init__(self, *, digest: str) -> None:
@@ -125,15 +147,15 @@
     self.generation = 0
     self.error: errors.WoadrunError | None = None
     self.is_done = False
-    self._parts: list[bytes] = []
-    self._begun = asyncio.Event()
+    self._chunks: list[bytes] = []
+    self._head_ready = asyncio.Event()
     self._changed = asyncio.Event()
 
   @classmethod
   def from_bytes(
     cls, data: bytes, *, status: int, content_type: str, digest: str = ''
   ) -> Answer:
-    """Returns an answer that is whole."""
+    """Returns a complete answer."""
     answer = cls(digest=digest)
     answer.begin(status=status, content_type=content_type)
     answer.write(data)
@@ -142,53 +164,59 @@
 
   @property
   def size(self) -> int:
-    """Returns how many bytes there are so far."""
-    return sum(map(len, self._parts))
+    """Returns the number of bytes written so far."""
+    return sum(map(len, self._chunks))
 
   def begin(self, *, status: int, content_type: str) -> None:
-    """Sets the head of the answer; readers go on from here."""
+    """Sets the status and content type, and wakes waiting readers."""
     self.status = status
     self.content_type = content_type
-    self._begun.set()
+    self._head_ready.set()
 
   def write(self, data: bytes) -> None:
-    """Adds bytes."""
-    self._parts.append(data)
-    self._wake()
+    """Appends bytes to the answer."""
+    self._chunks.append(data)
+    self._notify_readers()
 
-  def begin_again(self) -> None:
-    """Drops all bytes written; readers that have some are broken off."""
-    if self._parts:
+  def restart(self) -> None:
+    """Discards all bytes written.
+
+    Readers that have received some of them get `StreamBroken`.
+    """
+    if self._chunks:
       self.generation += 1
-      self._parts = []
-      self._wake()
+      self._chunks = []
+      self._notify_readers()
 
   def finish(self) -> None:
-    """Marks the answer as whole."""
+    """Marks the answer as complete."""
     self.is_done = True
-    self._begun.set()
-    self._wake()
+    self._head_ready.set()
+    self._notify_readers()
 
   def fail(self, error: errors.WoadrunError) -> None:
-    """Ends the answer with an error."""
+    """Completes the answer with an error."""
     self.error = error
     self.finish()
 
-  def _wake(self) -> None:
+  def _notify_readers(self) -> None:
     self._changed.set()
     self._changed = asyncio.Event()
 
   async def wait_begun(self) -> None:
-    """Returns once the head is known; raises the error where it is one."""
-    await self._begun.wait()
+    """Returns once the status and content type are set.
+
+    Raises the answer's error if it has one.
+    """
+    await self._head_ready.wait()
     if self.error is not None:
       raise self.error
 
   async def read(self) -> AsyncGenerator[bytes, None]:
     """Yields the answer's bytes from the first one.
 
-    Raises the answer's error where it has no bytes, and `StreamBroken`
-    where some that were yielded do not count any more.
+    Raises the answer's error if no bytes were yielded before it, and
+    `StreamBroken` if yielded bytes were discarded or an error followed them.
     """
     index = 0
     generation = self.generation
@@ -199,9 +227,9 @@
       if index and (generation != self.generation or self.error is not None):
         raise StreamBroken
       generation = self.generation
-      while index < len(self._parts):
-        chunk = b''.join(self._parts[index:])
-        index = len(self._parts)
+      while index < len(self._chunks):
+        chunk = b''.join(self._chunks[index:])
+        index = len(self._chunks)
         yield chunk
       if self.is_done:
         return
--- a/src/woadrun/request/events.py
+++ b/src/woadrun/request/events.py
@@ -1,35 +1,35 @@
-"""Reads a stream of server-sent events without changing its bytes."""
+"""Parser for server-sent events that are forwarded unchanged."""
 
 from __future__ import annotations
 
 
 class EventReader:
-  """Collects the data of the events that have passed.
+  """Collects the data of the events in a stream.
 
-  `data` is the data of each whole event and a line feed after it; `count`
-  is how many there were.
+  `data` holds the data of each complete event, followed by a line feed;
+  `count` is the number of these events.
   """
 
   def __init__(self) -> None:
-    self._rest = b''
-    self._lines: list[bytes] = []
+    self._partial_line = b''
+    self._data_lines: list[bytes] = []
     self.data = bytearray()
     self.count = 0
 
   def feed(self, chunk: bytes) -> None:
-    """Takes the next bytes of the stream."""
-    *lines, self._rest = (self._rest + chunk).split(b'\n')
+    """Parses the next bytes of the stream."""
+    *lines, self._partial_line = (self._partial_line + chunk).split(b'\n')
     for line in lines:
-      self._take(line.removesuffix(b'\r'))
+      self._process_line(line.removesuffix(b'\r'))
 
-  def _take(self, line: bytes) -> None:
+  def _process_line(self, line: bytes) -> None:
     if not line:
-      self._end_event()
+      self._dispatch_event()
     elif line.startswith(b'data:'):
-      self._lines.append(line[5:].removeprefix(b' '))
+      self._data_lines.append(line[5:].removeprefix(b' '))
 
-  def _end_event(self) -> None:
-    if self._lines:
-      self.data += b'\n'.join(self._lines) + b'\n'
+  def _dispatch_event(self) -> None:
+    if self._data_lines:
+      self.data += b'\n'.join(self._data_lines) + b'\n'
       self.count += 1
-      self._lines.clear()
+      self._data_lines.clear()
--- a/src/woadrun/request/execution.py
+++ b/src/woadrun/request/execution.py
@@ -1,4 +1,4 @@
-"""A call that is being executed by the owner of its program."""
+"""State of a running call, and the serialization of a program's calls."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Execution:
-  """One call under way: who waits for it and what it holds.
+  """One running call and its answer.
 
-  `events` is the stream for callers that asked for one, `whole` the JSON
-  answer.  `is_accepted` says that the call is in the program's records.
-  `tail` is the end of the stream, held back until the outcome is kept.
+  `stream_answer` is for callers that requested an event stream,
+  `json_answer` for all others.  `is_accepted` tells whether the call is in
+  the program's records.  `tail` is the end of the stream, held back until
+  the outcome is committed.
   """
 
   call: calls.Call
   digest: str
-  events: calls.Answer
-  whole: calls.Answer
+  stream_answer: calls.Answer
+  json_answer: calls.Answer
   task: asyncio.Task[None] | None = None
   is_accepted: bool = False
   cancel_reason: str = ''
@@ -32,77 +33,82 @@
   started_at: float = dataclasses.field(default_factory=time.monotonic)
 
   def get_answer(self, *, is_stream: bool) -> calls.Answer:
-    """Returns the form of the answer that a caller asked for."""
-    return self.events if is_stream else self.whole
+    """Returns the event stream or the JSON answer."""
+    return self.stream_answer if is_stream else self.json_answer
 
   def fail(self, error: errors.WoadrunError) -> None:
-    """Ends both forms of the answer with an error."""
-    self.events.fail(error)
-    self.whole.fail(error)
+    """Completes both forms of the answer with an error."""
+    self.stream_answer.fail(error)
+    self.json_answer.fail(error)
 
-  def finish_whole(self, data: bytes, *, status: int) -> None:
-    """Completes the JSON form; a stream without events gets it too."""
-    self.whole.begin(status=status, content_type=calls.JSON_TYPE)
-    self.whole.write(data)
-    self.whole.finish()
-    if not self.events.is_done and not self.events.size:
-      self.events.begin(status=status, content_type=calls.JSON_TYPE)
-      self.events.write(data)
-      self.events.finish()
+  def finish_json(self, data: bytes, *, status: int) -> None:
+    """Completes the JSON answer.
+
+    The same JSON completes an event stream to which nothing was written.
+    """
+    self.json_answer.begin(status=status, content_type=calls.JSON_TYPE)
+    self.json_answer.write(data)
+    self.json_answer.finish()
+    if not self.stream_answer.is_done and not self.stream_answer.size:
+      self.stream_answer.begin(status=status, content_type=calls.JSON_TYPE)
+      self.stream_answer.write(data)
+      self.stream_answer.finish()
 
 
 def make_execution(call: calls.Call) -> Execution:
-  """Returns the execution of a call that has not begun."""
+  """Returns a new execution of a call, without a task."""
   digest = call.get_digest()
   return Execution(
     call=call,
     digest=digest,
-    events=calls.Answer(digest=digest),
-    whole=calls.Answer(digest=digest),
+    stream_answer=calls.Answer(digest=digest),
+    json_answer=calls.Answer(digest=digest),
   )
 
 
-class Turns:
-  """The order of calls within each program.
+class ProgramLocks:
+  """One lock for each program, which serializes its calls.
 
-  A call without an ordinal goes in the order of arrival; one with an
-  ordinal waits for its turn, within bounds.
+  Calls acquire the lock in order of arrival; a call with an ordinal does so
+  only once all calls before it are recorded.  The locks of programs without
+  calls are removed.
   """
 
   def __init__(self) -> None:
     self._lock_by_program: dict[str, asyncio.Lock] = {}
     self._count_by_program: dict[str, int] = {}
 
-  async def enter(self, program_id: str) -> None:
-    """Returns when all calls that came before are over."""
+  async def acquire(self, program_id: str) -> None:
+    """Returns once all earlier calls have released the lock of a program."""
     lock = self._lock_by_program.setdefault(program_id, asyncio.Lock())
     count = self._count_by_program.get(program_id, 0)
     self._count_by_program[program_id] = count + 1
     try:
       await lock.acquire()
     except BaseException:
-      self._leave(program_id)
+      self._decrement(program_id)
       raise
 
-  def exit(self, program_id: str) -> None:
-    """Lets the next call of the program go."""
+  def release(self, program_id: str) -> None:
+    """Lets the next waiting call of a program proceed."""
     self._lock_by_program[program_id].release()
-    self._leave(program_id)
+    self._decrement(program_id)
 
-  def _leave(self, program_id: str) -> None:
+  def _decrement(self, program_id: str) -> None:
     self._count_by_program[program_id] -= 1
     if not self._count_by_program[program_id]:
       del self._count_by_program[program_id]
       del self._lock_by_program[program_id]
 
 
-def get_stored(
+def get_stored_answer(
   found: program.Program, call: calls.Call, digest: str, *, is_stream: bool
 ) -> calls.Answer | None:
-  """Returns the answer that an earlier request with the same id got.
+  """Returns the stored answer of an earlier request with the same id.
 
-  None stands for no such request, or one that is still running.  Raises
-  what the first request got where that was an error.
+  Returns None if there is no such request or it is still running.  Raises
+  the stored error if the request failed, and `request_conflict` if the
+  request differs or its answer is no longer stored.
   """
   request = found.request_by_id.get(call.request)
   if request is None:
@@ -114,7 +120,7 @@
   if request.answer is None:
     raise errors.WoadrunError(
       errors.Code.REQUEST_CONFLICT,
-      'The request ran; its answer is no longer kept.',
+      'The request has run, but its answer is no longer stored.',
       ran=errors.Ran.RAN,
       place='Idempotency-Key',
     )
@@ -139,9 +145,9 @@
 
 
 def make_conflict(request: str) -> errors.WoadrunError:
-  """Returns the refusal of an id that stands for another request."""
+  """Returns the error for an id that was used for a different request."""
   return errors.WoadrunError(
     errors.Code.REQUEST_CONFLICT,
-    f'The id {request} was used for another request.',
+    f'The id {request} was already used for a different request.',
     place='Idempotency-Key',
   )
--- a/src/woadrun/request/gateway.py
+++ b/src/woadrun/request/gateway.py
@@ -1,4 +1,8 @@
-"""The callers' interface over HTTP: checks, forwards and relays."""
+"""HTTP interface for callers.
+
+Authenticates and validates requests, forwards them to the owner of their
+program, and relays the answers.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,10 @@
 
 
 class StartBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-  """The body that starts a program; `deadline` is in seconds."""
+  """The request body that starts a program.
+
+  `budget` is in tokens; `deadline` is in seconds from the start.
+  """
 
   team: str
   budget: int
@@ -40,7 +47,11 @@
 
 
 class ProgramBody(msgspec.Struct, kw_only=True):
-  """A program as its caller sees it; all but times in tokens."""
+  """The representation of a program in responses to callers.
+
+  `budget`, `spent`, `reserved`, `carved`, `available` and `history_tokens`
+  are in tokens; `deadline_at` is a Unix time in seconds.
+  """
 
   id: str
   team: str
@@ -58,7 +69,7 @@
 
 
 class Gateway:
-  """The handlers of the callers' interface."""
+  """The HTTP handlers for callers' requests."""
 
   def __init__(
     self,
@@ -70,28 +81,31 @@
   ) -> None:
     self._config = config
     self._members = members
-    self._guard = guard
-    self._forward = forward
+    self._access = guard
+    self._forwarding = forward
     self.active = 0
     self.served = 0
 
   def get_routes(self) -> list[web.RouteDef]:
-    """Returns the routes of the callers' interface."""
+    """Returns the routes that callers may request."""
     return [
-      web.post('/v1/programs', self._counted(self._start)),
-      web.get('/v1/programs/{program}', self._counted(self._get)),
-      web.get('/v1/programs/{program}/history', self._counted(self._history)),
+      web.post('/v1/programs', self._count_request(self._start_program)),
+      web.get('/v1/programs/{program}', self._count_request(self._get_program)),
+      web.get(
+        '/v1/programs/{program}/history', self._count_request(self._get_history)
+      ),
       web.post(
-        '/v1/programs/{program}/{verb:end|cancel}', self._counted(self._end)
+        '/v1/programs/{program}/{verb:end|cancel}',
+        self._count_request(self._end_program),
       ),
       web.post(
         '/v1/programs/{program}/services/{service}/{action}',
-        self._counted(self._call_service),
+        self._count_request(self._call_service),
       ),
-      web.post('/v1/chat/completions', self._counted(self._call_model)),
+      web.post('/v1/chat/completions', self._count_request(self._call_model)),
     ]
 
-  def _counted(self, handler: Handler) -> Handler:
+  def _count_request(self, handler: Handler) -> Handler:
     async def handle(request: web.Request) -> web.StreamResponse:
       self.active += 1
       try:
@@ -104,54 +118,56 @@
 
   # --- Programs -------------------------------------------------------------
 
-  async def _start(self, request: web.Request) -> web.Response:
-    teams = self._guard.get_teams(request)
+  async def _start_program(self, request: web.Request) -> web.Response:
+    teams = self._access.get_teams(request)
     body = decode(await read_body(request), StartBody)
     if body.team not in teams and '*' not in teams:
       raise errors.WoadrunError(
         errors.Code.FORBIDDEN_TEAM,
-        f'The token may not act for {body.team}.',
+        f'The bearer token is not authorized for team {body.team}.',
         place='team',
       )
     key = calls.check_request_id(request.headers.get(REQUEST_HEADER, ''))
-    started = await self._start_somewhere(body, teams, key)
+    started = await self._start_in_any_domain(body, teams, key)
     return make_json(get_program_body(started), status=201)
 
-  async def _start_somewhere(
+  async def _start_in_any_domain(
     self, body: StartBody, teams: list[str], key: str
   ) -> program.Program:
-    """Returns the program, at home in the first domain that can take it.
+    """Returns the program, started in the first available domain.
 
-    The order of the domains follows from the key, so that a retry through
-    any daemon finds the program that the first try started.
+    A sub-agent starts in the slot of its parent.  Otherwise the domains are
+    tried in an order derived from the team and the key, so that a retry
+    through any daemon finds the program that the first attempt started.
     """
     if body.parent:
       domain, slot = calls.split_program_id(body.parent)
-      return await self._start_at(body, teams, key, domain, slot)
+      return await self._start_in_domain(body, teams, key, domain, slot)
     domains = roster.rank(
       f'home/{body.team}/{key}', self._config.daemon.region_domains
     )
-    # A domain that seems cut off comes last; the order is else the key's.
+    # Domains not heard from lately are tried last.  The sort is stable, so
+    # the order is otherwise the one derived from the key.
     domains.sort(key=lambda domain: not self._members.hears_domain(domain))
     slot = int.from_bytes(roster.get_digest(f'{body.team}/{key}'), 'big')
     slot %= self._config.daemon.slots
-    fault: errors.WoadrunError | None = None
+    last_error: errors.WoadrunError | None = None
     for domain in domains:
       try:
-        return await self._start_at(body, teams, key, domain, slot)
+        return await self._start_in_domain(body, teams, key, domain, slot)
       except errors.WoadrunError as error:
         if error.code is not errors.Code.OWNER_UNAVAILABLE:
           raise
-        fault = error
-    raise fault or AssertionError('no domains')
+        last_error = error
+    raise last_error or AssertionError('no domains are configured')
 
-  async def _start_at(
+  async def _start_in_domain(
     self, body: StartBody, teams: list[str], key: str, domain: str, slot: int
   ) -> program.Program:
-    name = f'{body.team}/{body.parent}/{key}'
-    return await self._forward.start_program(
+    program_key = f'{body.team}/{body.parent}/{key}'
+    return await self._forwarding.start_program(
       calls.Start(
-        program=calls.make_program_id(domain, slot, name),
+        program=calls.make_program_id(domain, slot, program_key),
         team=body.team,
         kind=body.kind,
         budget=body.budget,
@@ -161,15 +177,15 @@
       )
     )
 
-  async def _get(self, request: web.Request) -> web.Response:
-    return make_json(get_program_body(await self._steer(request, 'get')))
+  async def _get_program(self, request: web.Request) -> web.Response:
+    return make_json(get_program_body(await self._send_command(request, 'get')))
 
-  async def _end(self, request: web.Request) -> web.Response:
-    found = await self._steer(request, request.match_info['verb'])
+  async def _end_program(self, request: web.Request) -> web.Response:
+    found = await self._send_command(request, request.match_info['verb'])
     return make_json(get_program_body(found))
 
-  async def _history(self, request: web.Request) -> web.Response:
-    found = await self._steer(request, 'get')
+  async def _get_history(self, request: web.Request) -> web.Response:
+    found = await self._send_command(request, 'get')
     return make_json(
       {
         'id': found.started.program,
@@ -180,25 +196,27 @@
       }
     )
 
-  async def _steer(self, request: web.Request, verb: str) -> program.Program:
-    return await self._forward.steer(
+  async def _send_command(
+    self, request: web.Request, verb: str
+  ) -> program.Program:
+    return await self._forwarding.steer(
       calls.Steer(
         program=request.match_info['program'],
         verb=verb,
-        teams=self._guard.get_teams(request),
+        teams=self._access.get_teams(request),
       )
     )
 
   # --- Calls ----------------------------------------------------------------
 
   async def _call_model(self, request: web.Request) -> web.StreamResponse:
-    teams = self._guard.get_teams(request)
+    teams = self._access.get_teams(request)
     raw = await read_body(request)
     body = decode(raw, dict[str, Any])
     model = body.get('model')
     if not isinstance(model, str):
       raise errors.WoadrunError(
-        errors.Code.BAD_REQUEST, 'model must be a string.', place='model'
+        errors.Code.BAD_REQUEST, 'The model must be a string.', place='model'
       )
     call = calls.Call(
       program=_get_program_header(request),
@@ -214,7 +232,7 @@
     return await self._relay(request, call, is_stream=bool(body.get('stream')))
 
   async def _call_service(self, request: web.Request) -> web.StreamResponse:
-    teams = self._guard.get_teams(request)
+    teams = self._access.get_teams(request)
     raw = await read_body(request) or b'{}'
     decode(raw, Any)
     match = request.match_info
@@ -234,7 +252,7 @@
     self, request: web.Request, call: calls.Call, *, is_stream: bool
   ) -> web.StreamResponse:
     while True:
-      opened = await self._forward.open_call(call, is_stream=is_stream)
+      opened = await self._forwarding.open_call(call, is_stream=is_stream)
       response = web.StreamResponse(status=opened.status)
       response.content_type = opened.content_type
       response.headers[REQUEST_HEADER] = call.request
@@ -246,7 +264,8 @@
           break_off(request)
           return response
       except ConnectionResetError:
-        # The caller is gone; the call goes on for its next try.
+        # The caller disconnected; the call continues so that a retry with
+        # the same id gets its answer.
         return response
       finally:
         opened.close()
@@ -259,8 +278,8 @@
 ) -> web.StreamResponse:
   """Returns the response after all chunks were written to it.
 
-  The head goes out with the first chunk: until then a broken answer can
-  be asked for again without the caller's notice.
+  The response headers are sent with the first chunk.  Until then an
+  interrupted answer can be requested again without the caller noticing.
   """
   async with contextlib.aclosing(chunks) as source:
     async for chunk in source:
@@ -274,7 +293,10 @@
 
 
 def break_off(request: web.Request) -> None:
-  """Closes a connection without an end, so that its reader sees the cut."""
+  """Aborts the connection of a request.
+
+  The missing end of the response shows the client that it is truncated.
+  """
   if request.transport is not None:
     request.transport.abort()
 
@@ -283,23 +305,30 @@
 
 
 async def read_body(request: web.Request) -> bytes:
-  """Returns the body of a request, or raises `body_too_large`."""
+  """Returns the body of a request.
+
+  Raises `body_too_large` if the body exceeds the configured size.
+  """
   try:
     return await request.read()
   except web.HTTPRequestEntityTooLarge:
     raise errors.WoadrunError(
-      errors.Code.BODY_TOO_LARGE, 'The body is too large.', place='body'
+      errors.Code.BODY_TOO_LARGE, 'The request body is too large.', place='body'
     ) from None
 
 
 def decode(data: bytes, type: Any) -> Any:
-  """Returns the message in a JSON body, or raises where it is broken."""
+  """Returns the value of a JSON body, decoded as `type`.
+
+  Raises `bad_json` for malformed JSON, and `bad_request` with the path of
+  the invalid field for JSON that does not match the type.
+  """
   try:
     return msgspec.json.decode(data, type=type)
   except msgspec.ValidationError as error:
-    reason, _, place = str(error).partition(' - at ')
+    reason, _, path = str(error).partition(' - at ')
     raise errors.WoadrunError(
-      errors.Code.BAD_REQUEST, reason, place=place.strip('`')
+      errors.Code.BAD_REQUEST, reason, place=path.strip('`')
     ) from None
   except msgspec.DecodeError as error:
     raise errors.WoadrunError(
@@ -308,14 +337,14 @@
 
 
 def _get_program_header(request: web.Request) -> str:
-  found = request.headers.get(PROGRAM_HEADER)
-  if not found:
+  program_id = request.headers.get(PROGRAM_HEADER)
+  if not program_id:
     raise errors.WoadrunError(
       errors.Code.BAD_REQUEST,
-      f'Name the program in the header {PROGRAM_HEADER}.',
+      f'The header {PROGRAM_HEADER} with the id of the program is missing.',
       place=PROGRAM_HEADER,
     )
-  return found
+  return program_id
 
 
 def _get_ordinal(request: web.Request) -> int:
@@ -323,13 +352,13 @@
   if not text.isdecimal() or len(text) > 9:
     raise errors.WoadrunError(
       errors.Code.BAD_REQUEST,
-      'The ordinal must be a whole number.',
+      'The ordinal must be a whole number of at most 9 digits.',
       place=ORDINAL_HEADER,
     )
   return int(text)
 
 
-# --- Writing answers --------------------------------------------------------
+# --- Writing responses ------------------------------------------------------
 
 
 def make_json(data: Any, *, status: int = 200) -> web.Response:
@@ -342,19 +371,19 @@
 
 
 def make_error(error: errors.WoadrunError) -> web.Response:
-  """Returns the response that an error stands for."""
+  """Returns the HTTP response for an error."""
   response = web.Response(
     body=error.get_body(), status=error.status, content_type=calls.JSON_TYPE
   )
   response.headers['Woadrun-Error'] = error.code.value
   if error.retry_after is not None:
-    # Whole seconds, as the header wants; the body has the exact time.
+    # The header allows whole seconds only; the body has the exact time.
     response.headers['Retry-After'] = str(max(1, round(error.retry_after)))
   return response
 
 
 def get_program_body(found: program.Program) -> ProgramBody:
-  """Returns a program as its caller sees it."""
+  """Returns the representation of a program for its caller."""
   started = found.started
   return ProgramBody(
     id=started.program,
--- a/src/woadrun/request/model_call.py
+++ b/src/woadrun/request/model_call.py
@@ -1,4 +1,4 @@
-"""One model call: its messages, its engine, its stream and its outcome."""
+"""Validation, engine request, event stream and answer of a model call."""
 
 from __future__ import annotations
 
@@ -16,7 +16,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Prepared:
-  """A model call whose messages and worst case are known."""
+  """The messages and token counts of a model call.
+
+  `messages` are those that the call adds to the history of its program.
+  `reserve` is the most tokens that the call may use: `most_output` tokens
+  of output and a bound of its new input.  `prompt` is the most tokens of
+  the whole prompt.
+  """
 
   messages: list[program.Message]
   reserve: int
@@ -25,22 +31,29 @@
 
 
 def parse_body(call: calls.Call) -> dict[str, Any]:
-  """Returns the body of a model call, or raises what is wrong with it."""
+  """Returns the decoded body of a model call.
+
+  Raises `bad_request` if the body is not valid.
+  """
   body = msgspec.json.decode(call.body)
   if not isinstance(body, dict):
-    raise _bad('The body must be an object.', '')
+    raise _make_bad_request('The body must be a JSON object.', '')
   messages = body.get('messages')
   if not isinstance(messages, list) or not messages:
-    raise _bad('messages must be a list that is not empty.', 'messages')
+    raise _make_bad_request(
+      'The messages must be a non-empty list.', 'messages'
+    )
   for index, message in enumerate(messages):
     if not isinstance(message, dict) or not isinstance(
       message.get('role'), str
     ):
-      raise _bad('Each message needs a role.', f'messages[{index}]')
+      raise _make_bad_request(
+        'Each message must be an object with a role.', f'messages[{index}]'
+      )
   return body
 
 
-def _bad(reason: str, place: str) -> errors.WoadrunError:
+def _make_bad_request(reason: str, place: str) -> errors.WoadrunError:
   return errors.WoadrunError(errors.Code.BAD_REQUEST, reason, place=place)
 
 
@@ -51,26 +64,28 @@
   *,
   history_tokens: int,
 ) -> Prepared:
-  """Returns the call as it fits its program now.
+  """Returns the messages and token counts of a call.
 
-  `history_tokens` bounds the history that a program may have.
+  These depend on the current history and budget of the program.  Raises
+  `budget_exceeded` if the call does not fit the budget, and `storage_full`
+  if the history could exceed `history_tokens`.
   """
   messages = body['messages']
   if not call.is_append:
     messages = list(budget.find_new_messages(found.history, messages))
-  wished = body.get('max_tokens', body.get('max_completion_tokens'))
-  reserve, most = budget.get_reserve(
-    found, messages, budget.check_output(wished)
+  requested_output = body.get('max_tokens', body.get('max_completion_tokens'))
+  reserve, max_output = budget.get_reserve(
+    found, messages, budget.check_output(requested_output)
   )
-  prompt = found.history_tokens + reserve - most
+  prompt = found.history_tokens + reserve - max_output
   if found.history_tokens + reserve > history_tokens:
     raise errors.WoadrunError(
       errors.Code.STORAGE_FULL,
-      f'The history would outgrow {history_tokens} tokens.',
+      f'The history would exceed {history_tokens} tokens.',
       place='messages',
     )
   return Prepared(
-    messages=messages, reserve=reserve, most_output=most, prompt=prompt
+    messages=messages, reserve=reserve, most_output=max_output, prompt=prompt
   )
 
 
@@ -80,44 +95,49 @@
   messages: list[program.Message],
   most_output: int,
 ) -> dict[str, Any]:
-  """Returns the body that goes to the engine: the whole conversation."""
-  kept = {
-    k: v
-    for k, v in body.items()
-    if k not in ('max_completion_tokens', 'stream', 'stream_options')
+  """Returns the body to send to the engine, with the whole conversation."""
+  options = {
+    key: value
+    for key, value in body.items()
+    if key not in ('max_completion_tokens', 'stream', 'stream_options')
+  }
+  return {
+    **options,
+    'messages': [*history, *messages],
+    'max_tokens': most_output,
   }
-  return {**kept, 'messages': [*history, *messages], 'max_tokens': most_output}
 
 
 @dataclasses.dataclass(kw_only=True)
 class Relay:
-  """The bytes of an event stream on their way to the callers.
+  """Forwards an engine's event stream to the readers of an answer.
 
-  Whole events go on as they come.  The closing event is held back until
-  the record of the answer is committed.
+  Complete events are forwarded as they arrive.  The terminating `[DONE]`
+  event is held back until the record of the outcome is committed.
+  `forwarded` is the number of bytes forwarded.
   """
 
   answer: calls.Answer
   received: bytearray = dataclasses.field(default_factory=bytearray)
-  passed: int = 0
-  is_whole: bool = False
+  forwarded: int = 0
+  is_complete: bool = False
 
   def feed(self, chunk: bytes) -> None:
-    """Takes in bytes of the engine."""
-    searched = max(self.passed, len(self.received) - len(engine.DONE))
+    """Forwards the events that these bytes of the engine complete."""
+    search_start = max(self.forwarded, len(self.received) - len(engine.DONE))
     self.received += chunk
-    done = self.received.find(engine.DONE, searched)
-    self.is_whole = self.is_whole or done >= 0
-    end = done if done >= 0 else self.received.rfind(b'\n\n') + 2
-    if end > self.passed and end >= 2:
-      self.answer.write(bytes(self.received[self.passed : end]))
-      self.passed = end
+    done_at = self.received.find(engine.DONE, search_start)
+    self.is_complete = self.is_complete or done_at >= 0
+    end = done_at if done_at >= 0 else self.received.rfind(b'\n\n') + 2
+    if end > self.forwarded and end >= 2:
+      self.answer.write(bytes(self.received[self.forwarded : end]))
+      self.forwarded = end
 
 
 def make_completion(
-  request: str, model: str, found: engine.Answer, usage: engine.Usage
+  request: str, model: str, answer: engine.Answer, usage: engine.Usage
 ) -> bytes:
-  """Returns the answer in the shape of one whole chat completion."""
+  """Returns the answer as the JSON of a chat completion."""
   return msgspec.json.encode(
     {
       'id': f'chatcmpl-{request}',
@@ -126,8 +146,8 @@
       'choices': [
         {
           'index': 0,
-          'message': {'role': 'assistant', 'content': found.content},
-          'finish_reason': found.finish_reason or 'stop',
+          'message': {'role': 'assistant', 'content': answer.content},
+          'finish_reason': answer.finish_reason or 'stop',
         }
       ],
       'usage': {
@@ -145,16 +165,18 @@
   choice = data['choices'][0]
   head = {**data, 'object': 'chat.completion.chunk'}
   del head['usage']
-  delta = {'index': 0, 'delta': choice['message'], 'finish_reason': None}
+  first = {'index': 0, 'delta': choice['message'], 'finish_reason': None}
   last = {
     'index': 0,
     'delta': {},
     'finish_reason': choice['finish_reason'],
   }
   events = (
-    {**head, 'choices': [delta]},
+    {**head, 'choices': [first]},
     {**head, 'choices': [last]},
     {**head, 'choices': [], 'usage': data['usage']},
   )
-  lines = [b'data: ' + msgspec.json.encode(e) + b'\n\n' for e in events]
-  return b''.join((*lines, engine.DONE, b'\n\n'))
+  encoded = [
+    b'data: ' + msgspec.json.encode(event) + b'\n\n' for event in events
+  ]
+  return b''.join((*encoded, engine.DONE, b'\n\n'))
--- a/src/woadrun/request/owner.py
+++ b/src/woadrun/request/owner.py
@@ -1,7 +1,7 @@
-"""The owner's side of a request: programs, and the answers of calls.
+"""Programs of the slots that this daemon owns.
 
-A program begins, is read, and ends here.  A call's answer is the stored
-one of an earlier request with the same id, one under way, or a new one.
+Starts, reads and ends programs.  A call gets the stored answer of an earlier
+request with the same id, the answer of a running one, or a new one.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 
 log = logging.getLogger('woadrun.owner')
 
-ORDER_POLL_SECONDS = 0.01
-SWEEP_SECONDS = 1.0
+OUTCOME_POLL_SECONDS = 0.01
+SWEEP_INTERVAL_SECONDS = 1.0
 ABANDONED = 'abandoned'
 PAST_DEADLINE = 'past its deadline'
 
@@ -36,7 +36,7 @@
 
 
 class Owner(mode.Service):
-  """All programs of the slots that this daemon owns."""
+  """The programs of all slots that this daemon owns."""
 
   def __init__(
     self,
@@ -52,20 +52,20 @@
     self._held = held
     self._table = table
     self._runner = run
-    self._back = back
+    self._upstreams = back
     self.clock: Callable[[], float] = time.time
 
   # --- Programs -------------------------------------------------------------
 
   async def start_program(self, start: calls.Start) -> program.Program:
-    """Returns a new program, or the one that the same request started."""
-    _, number = calls.split_program_id(start.program)
-    holding = await self._held.open(number)
+    """Returns a new program, or the one that an equal request started."""
+    _, slot = calls.split_program_id(start.program)
+    holding = await self._held.open(slot)
     digest = start.get_digest()
     found = holding.state.program_by_id.get(start.program)
     if found is not None:
       if found.started.digest != digest:
-        raise execution.make_conflict('of the start')
+        raise execution.make_conflict('of the start request')
       await self._held.confirm(holding)
       return found
     row = self._check_start(start, holding.state)
@@ -90,11 +90,11 @@
   ) -> rows.Row:
     row = self._table.get_row(start.team, start.kind)
     if start.budget <= 0:
-      raise _bad('The budget must be above 0.', 'budget')
+      raise _make_bad_request('The budget must be greater than 0.', 'budget')
     if start.budget > row.program_budget:
       raise errors.WoadrunError(
         errors.Code.BUDGET_EXCEEDED,
-        f'{row.key} allows {row.program_budget} tokens for a program.',
+        f'{row.key} allows at most {row.program_budget} tokens per program.',
         place='budget',
       )
     if start.parent:
@@ -102,14 +102,14 @@
     elif self._count_programs() >= self._config.limits.programs:
       raise errors.WoadrunError(
         errors.Code.STORAGE_FULL,
-        'This daemon holds as many programs as it may.',
-        retry_after=SWEEP_SECONDS,
+        'This daemon has reached its limit of stored programs.',
+        retry_after=SWEEP_INTERVAL_SECONDS,
       )
     return row
 
   def _count_programs(self) -> int:
-    held = self._held.holding_by_slot.values()
-    return sum(len(holding.state.program_by_id) for holding in held)
+    holdings = self._held.holding_by_slot.values()
+    return sum(len(holding.state.program_by_id) for holding in holdings)
 
   def _check_parent(self, start: calls.Start, state: program.SlotState) -> None:
     parent = self._get_program(state, start.parent, start.teams)
@@ -118,75 +118,89 @@
     if start.budget > parent.available:
       raise errors.WoadrunError(
         errors.Code.BUDGET_EXCEEDED,
-        f'The parent has {parent.available} tokens left.',
+        f'The parent program has {parent.available} tokens left.',
         place='budget',
       )
 
   def _get_program(
-    self, state: program.SlotState, name: str, teams: list[str]
+    self, state: program.SlotState, program_id: str, teams: list[str]
   ) -> program.Program:
-    found = state.get_program(name)
+    found = state.get_program(program_id)
     if found.started.team not in teams and '*' not in teams:
-      # The same answer as for a program that does not exist.
-      return program.SlotState().get_program(name)
+      # Raises the error for a program that does not exist, so that callers
+      # cannot find out about programs of other teams.
+      return program.SlotState().get_program(program_id)
     return found
 
-  async def get(self, steer: calls.Steer) -> program.Program:
-    """Returns a program as it is now, or as it was when it was over."""
-    _, number = calls.split_program_id(steer.program)
-    holding = await self._held.open(number)
+  async def get(self, command: calls.Steer) -> program.Program:
+    """Returns a program in its current state.
+
+    The state of a program that was removed from memory after its end is read
+    from the object store.
+    """
+    _, slot = calls.split_program_id(command.program)
+    holding = await self._held.open(slot)
     await self._held.confirm(holding)
     try:
-      return self._get_program(holding.state, steer.program, steer.teams)
+      return self._get_program(holding.state, command.program, command.teams)
     except errors.WoadrunError:
-      archived = await self._back.read_archive(steer.program)
+      archived = await self._upstreams.read_archive(command.program)
       if archived is None:
         raise
-      state = program.SlotState(program_by_id={steer.program: archived})
-      return self._get_program(state, steer.program, steer.teams)
+      state = program.SlotState(program_by_id={command.program: archived})
+      return self._get_program(state, command.program, command.teams)
 
-  async def end(self, steer: calls.Steer, *, reason: str) -> program.Program:
-    """Returns a program after it and its sub-agents have ended.
+  async def end(self, command: calls.Steer, *, reason: str) -> program.Program:
+    """Returns a program after ending it and its sub-agents.
 
-    Ending waits for calls under way; cancelling breaks them off.
+    With the reason `ended` running calls are completed first; with any other
+    reason they are cancelled.
     """
-    _, number = calls.split_program_id(steer.program)
-    holding = await self._held.open(number)
-    found = self._get_program(holding.state, steer.program, steer.teams)
-    await self._end(number, steer.program, reason)
+    _, slot = calls.split_program_id(command.program)
+    holding = await self._held.open(slot)
+    found = self._get_program(holding.state, command.program, command.teams)
+    await self._end(slot, command.program, reason)
     return found
 
-  async def _end(self, number: int, name: str, reason: str) -> None:
-    holding = await self._held.open(number)
-    for child in _get_children(holding.state, name):
-      await self._end(number, child, reason)
+  async def _end(self, slot: int, program_id: str, reason: str) -> None:
+    holding = await self._held.open(slot)
+    for child in _get_children(holding.state, program_id):
+      await self._end(slot, child, reason)
     if reason != 'ended':
-      self._runner.cancel(name, reason)
-    await self._runner.turns.enter(name)
+      self._runner.cancel(program_id, reason)
+    await self._runner.program_locks.acquire(program_id)
     try:
-      holding = await self._held.open(number)
-      found = holding.state.get_program(name)
+      holding = await self._held.open(slot)
+      found = holding.state.get_program(program_id)
       if found.ended:
         return
-      record = program.Ended(program=name, reason=reason, time=self.clock())
+      record = program.Ended(
+        program=program_id, reason=reason, time=self.clock()
+      )
       ticket = self._held.append(holding, [record])
       await self._held.settle(ticket, is_strong=False)
     finally:
-      self._runner.turns.exit(name)
-    self._back.forget_program(name, found.engine)
+      self._runner.program_locks.release(program_id)
+    self._upstreams.drop_program_cache(program_id, found.engine)
 
   # --- Calls ----------------------------------------------------------------
 
   async def call(self, call: calls.Call, *, is_stream: bool) -> calls.Answer:
-    """Returns the answer of a call: stored, under way, or newly begun."""
-    _, number = calls.split_program_id(call.program)
+    """Returns the answer of a call.
+
+    The answer is stored, is being written by a running execution, or belongs
+    to a new execution.
+    """
+    _, slot = calls.split_program_id(call.program)
     digest = call.get_digest()
     key = (call.program, call.request)
     deadline = time.monotonic() + self._config.timing.hold
     while True:
-      holding = await self._held.open(number)
+      holding = await self._held.open(slot)
       found = self._get_program(holding.state, call.program, call.teams)
-      stored = execution.get_stored(found, call, digest, is_stream=is_stream)
+      stored = execution.get_stored_answer(
+        found, call, digest, is_stream=is_stream
+      )
       if stored is not None:
         await self._held.confirm(holding)
         return stored
@@ -200,42 +214,44 @@
       if time.monotonic() > deadline:
         raise errors.WoadrunError(
           errors.Code.OWNER_UNAVAILABLE,
-          'The request is being finished by another daemon.',
+          'Another daemon is still completing the request.',
           ran=errors.Ran.UNKNOWN,
           retry_after=1.0,
         )
-      await asyncio.sleep(ORDER_POLL_SECONDS)
+      await asyncio.sleep(OUTCOME_POLL_SECONDS)
 
-  # --- Programs that are over -----------------------------------------------
+  # --- Expiry and archival --------------------------------------------------
 
   @mode.Service.task
   async def _sweep(self) -> None:
     while not self.should_stop:
-      await self.sleep(SWEEP_SECONDS)
-      for number in list(self._held.holding_by_slot):
+      await self.sleep(SWEEP_INTERVAL_SECONDS)
+      for slot in list(self._held.holding_by_slot):
         with contextlib.suppress(errors.WoadrunError):
-          await self._sweep_slot(number)
+          await self._sweep_slot(slot)
 
-  async def _sweep_slot(self, number: int) -> None:
-    holding = self._held.holding_by_slot.get(number)
+  async def _sweep_slot(self, slot: int) -> None:
+    holding = self._held.holding_by_slot.get(slot)
     programs = holding.state.program_by_id if holding else {}
     now = self.clock()
-    for name, found in list(programs.items()):
+    for program_id, found in list(programs.items()):
       if found.ended:
         if now - found.last_active > self._config.timing.keep_ended and holding:
-          await self._back.archive(name, found)
-          self._held.append(holding, [program.Forgotten(program=name)])
+          await self._upstreams.archive(program_id, found)
+          self._held.append(holding, [program.Forgotten(program=program_id)])
         continue
-      reason = self._find_reason_to_end(found, now)
+      reason = self._find_end_reason(found, now)
       if reason:
-        log.info('%s is %s.', name, reason)
-        self.add_future(self._try_end(number, name, reason))
+        log.info('Ending program %s: it is %s.', program_id, reason)
+        self.add_future(self._end_if_possible(slot, program_id, reason))
 
-  async def _try_end(self, number: int, name: str, reason: str) -> None:
+  async def _end_if_possible(
+    self, slot: int, program_id: str, reason: str
+  ) -> None:
     with contextlib.suppress(errors.WoadrunError):
-      await self._end(number, name, reason)
+      await self._end(slot, program_id, reason)
 
-  def _find_reason_to_end(self, found: program.Program, now: float) -> str:
+  def _find_end_reason(self, found: program.Program, now: float) -> str:
     if now > found.started.deadline_at:
       return PAST_DEADLINE
     with contextlib.suppress(errors.WoadrunError):
@@ -246,13 +262,13 @@
     return ''
 
 
-def _bad(reason: str, place: str) -> errors.WoadrunError:
+def _make_bad_request(reason: str, place: str) -> errors.WoadrunError:
   return errors.WoadrunError(errors.Code.BAD_REQUEST, reason, place=place)
 
 
-def _get_children(state: program.SlotState, name: str) -> list[str]:
+def _get_children(state: program.SlotState, program_id: str) -> list[str]:
   return [
     child
     for child, found in state.program_by_id.items()
-    if found.started.parent == name and not found.ended
+    if found.started.parent == program_id and not found.ended
   ]
--- a/src/woadrun/request/recovery.py
+++ b/src/woadrun/request/recovery.py
@@ -1,9 +1,9 @@
-"""Calls that another owner of their slot had begun.
+"""Recovery of calls that a previous owner of their slot started.
 
-An owner that gives a slot away finishes the calls that it executes; the
-new owner waits for their outcomes.  What a dead owner left, or what was
-given up, the owner brings to its end: a call that may be repeated is
-resumed, of an action only the outcome is asked.
+An owner that hands over a slot finishes the calls that it executes, and the
+new owner waits for their outcomes.  The new owner recovers the calls that a
+dead owner left or that a previous owner gave up: it resumes a repeatable
+call, but only queries the service for the outcome of an action.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 log = logging.getLogger('woadrun.recovery')
 
-# How often calls are looked for that nobody finishes.
-ORPHAN_SECONDS = 5.0
+# Interval between scans for accepted calls that no daemon executes.
+ORPHAN_SCAN_INTERVAL_SECONDS = 5.0
 
 Key = tuple[str, str]
 
 
 class Recovery(mode.Service):
-  """The calls of this daemon's slots that were not begun here."""
+  """Recovers calls of this daemon's slots that other daemons started."""
 
   def __init__(
     self,
@@ -59,97 +59,103 @@
     self._table = table
     self._links = links
     self._places = places
-    self._back = back
+    self._upstreams = back
     self._runner = run
     self._elsewhere: dict[Key, messages.Handover] = {}
-    # Calls that are waited for or about to be brought to their end here.
+    # Calls whose recovery task is waiting or has yet to start the execution.
     self._recovering: set[Key] = set()
-    held.on_owned = self._on_owned
+    held.on_owned = self._recover_slot
 
-  # --- Calls that their giver finishes --------------------------------------
+  # --- Calls that a previous owner finishes ---------------------------------
 
   def note_handover(self, message: messages.Handover) -> messages.Done:
-    """Takes in which calls of a slot to come another daemon will finish."""
-    for _, name, request in message.requests:
-      self._elsewhere[(name, request)] = message
-    self.add_future(self._follow(message))
+    """Records which calls of incoming slots their previous owner finishes."""
+    for _, program_id, request in message.requests:
+      self._elsewhere[(program_id, request)] = message
+    self.add_future(self._poll_previous_owner(message))
     return messages.Done()
 
-  async def _follow(self, giver: messages.Handover) -> None:
-    """Returns once the giver has nothing left to finish.
+  async def _poll_previous_owner(self, handover: messages.Handover) -> None:
+    """Polls the previous owner until it finishes no more of its calls.
 
-    What it does not execute any more it has given up: the outcome comes
-    before it says so.
+    The previous owner sends the outcome of a call before it stops reporting
+    the call as running.  A call that it no longer reports and that has no
+    outcome was given up.
     """
-    asked = {(name, request) for _, name, request in giver.requests}
-    while asked := {k for k in asked if self._elsewhere.get(k) is giver}:
-      for key in asked - await self._ask_giver(giver, asked):
+    unfinished = {
+      (program_id, request) for _, program_id, request in handover.requests
+    }
+    while unfinished := {
+      key for key in unfinished if self._elsewhere.get(key) is handover
+    }:
+      for key in unfinished - await self._query_running(handover, unfinished):
         self._elsewhere.pop(key, None)
       await asyncio.sleep(self._config.timing.heartbeat)
 
-  async def _ask_giver(
-    self, giver: messages.Handover, keys: set[Key]
+  async def _query_running(
+    self, handover: messages.Handover, keys: set[Key]
   ) -> set[Key]:
-    known = self._members.roster.incarnations.get(giver.sender)
-    if known not in (None, giver.incarnation):
+    incarnation = self._members.roster.incarnations.get(handover.sender)
+    if incarnation not in (None, handover.incarnation):
       return set()
     try:
       answer = await self._links.post(
-        giver.sender,
+        handover.sender,
         'running',
         messages.Requests(requests=sorted(keys)),
         type=messages.Requests,
         timeout=self._config.timing.silent_after,
       )
     except errors.WoadrunError:
-      is_alive = await self._members.is_heard_by_others(giver.sender)
+      is_alive = await self._members.is_heard_by_others(handover.sender)
       return keys if is_alive else set()
     return set(answer.requests)
 
   async def note_finished(self, message: messages.Finish) -> messages.Recorded:
-    """Commits the outcome of a call that its giver finished."""
+    """Commits the outcome of a call that a previous owner finished."""
     recorded = await self._runner.note_finished(message)
     key = (message.record.program, message.record.request)
-    if self._find_attempt(key) is None:
-      # Otherwise the record was an earlier attempt's, and the giver still
-      # executes this one.
+    if self._find_running_attempt(key) is None:
+      # If an attempt is still running, the record was that of an earlier
+      # attempt, and the previous owner still executes the running one.
       self._elsewhere.pop(key, None)
     return recorded
 
   def find_running(self, message: messages.Requests) -> messages.Requests:
-    """Returns which of the calls this daemon still brings to their end."""
+    """Returns which of the calls this daemon still executes or records."""
     return messages.Requests(
       requests=[
-        key for key in message.requests if self._runner.is_under_way(key)
+        key for key in message.requests if self._runner.is_in_progress(key)
       ]
     )
 
-  # --- Calls that nobody finishes -------------------------------------------
+  # --- Calls that no daemon executes ----------------------------------------
 
-  def _on_owned(self, holding: slots.Holding) -> None:
-    for name, found in holding.state.program_by_id.items():
+  def _recover_slot(self, holding: slots.Holding) -> None:
+    for program_id, found in holding.state.program_by_id.items():
       for request in found.get_running():
-        key = (name, request.accepted.request)
-        if not self._is_cared_for(key):
+        key = (program_id, request.accepted.request)
+        if not self._is_handled(key):
           self._recovering.add(key)
           self.add_future(self._recover(key, request.accepted))
 
-  def _is_cared_for(self, key: Key) -> bool:
-    return self._runner.is_under_way(key) or key in self._recovering
+  def _is_handled(self, key: Key) -> bool:
+    return self._runner.is_in_progress(key) or key in self._recovering
 
   @mode.Service.task
-  async def _find_orphans(self) -> None:
-    # Whatever was given up, here or elsewhere, a call has one end.
+  async def _scan_for_orphans(self) -> None:
+    # Every accepted call must get an outcome, also one that this or another
+    # daemon gave up.
     while not self.should_stop:
-      await self.sleep(ORPHAN_SECONDS)
+      await self.sleep(ORPHAN_SCAN_INTERVAL_SECONDS)
       for holding in list(self._held.holding_by_slot.values()):
-        self._on_owned(holding)
+        self._recover_slot(holding)
 
   async def _recover(self, key: Key, accepted: program.Accepted) -> None:
-    """Brings a call to its end that an earlier owner had begun."""
+    """Starts the execution of a call that a previous owner left unfinished."""
     try:
       await self._wait_elsewhere(key)
-      self._begin_again(key, accepted)
+      self._start_recovery(key, accepted)
     finally:
       self._recovering.discard(key)
 
@@ -157,10 +163,10 @@
     while key in self._elsewhere:
       await asyncio.sleep(self._config.timing.heartbeat / 10)
 
-  def _find_attempt(self, key: Key) -> program.Accepted | None:
-    """Returns the running attempt of a call, or None."""
-    _, number = calls.split_program_id(key[0])
-    holding = self._held.holding_by_slot.get(number)
+  def _find_running_attempt(self, key: Key) -> program.Accepted | None:
+    """Returns the running attempt of a call, or None if there is none."""
+    _, slot = calls.split_program_id(key[0])
+    holding = self._held.holding_by_slot.get(slot)
     found = holding.state.program_by_id.get(key[0]) if holding else None
     request = found.request_by_id.get(key[1]) if found else None
     if request is None or not request.is_running:
@@ -169,11 +175,11 @@
 
   def _is_current(self, key: Key, accepted: program.Accepted) -> bool:
     """Returns whether an attempt is still the running one of its request."""
-    found = self._find_attempt(key)
+    found = self._find_running_attempt(key)
     return found is not None and found.attempt == accepted.attempt
 
-  def _begin_again(self, key: Key, accepted: program.Accepted) -> None:
-    if not self._is_current(key, accepted) or self._runner.is_under_way(key):
+  def _start_recovery(self, key: Key, accepted: program.Accepted) -> None:
+    if not self._is_current(key, accepted) or self._runner.is_in_progress(key):
       return
     call = calls.Call(
       program=accepted.program,
@@ -188,13 +194,15 @@
     running.digest = accepted.digest
     running.is_accepted = True
     self._runner.execution_by_key[key] = running
-    running.task = asyncio.ensure_future(self._finish_begun(running, accepted))
+    running.task = asyncio.ensure_future(
+      self._execute_recovered(running, accepted)
+    )
 
-  async def _finish_begun(
+  async def _execute_recovered(
     self, running: execution.Execution, accepted: program.Accepted
   ) -> None:
     key = (accepted.program, accepted.request)
-    await self._runner.turns.enter(accepted.program)
+    await self._runner.program_locks.acquire(accepted.program)
     try:
       if not self._is_current(key, accepted):
         raise runner.make_superseded(accepted.request)
@@ -204,31 +212,33 @@
     except asyncio.CancelledError:
       running.fail(runner.make_cancelled(running))
     finally:
-      self._runner.turns.exit(accepted.program)
+      self._runner.program_locks.release(accepted.program)
       self._runner.execution_by_key.pop(key, None)
 
   async def _resume(
     self, running: execution.Execution, accepted: program.Accepted
   ) -> None:
-    _, number = calls.split_program_id(accepted.program)
-    holding = await self._held.open(number)
+    _, slot = calls.split_program_id(accepted.program)
+    holding = await self._held.open(slot)
     found = holding.state.get_program(accepted.program)
     row = self._table.get_row(found.started.team, found.started.kind)
-    log.info('Resuming request %s of %s.', accepted.request, accepted.program)
+    log.info(
+      'Resuming request %s of program %s.', accepted.request, accepted.program
+    )
     if accepted.repeatable:
       place = self._places.get_place(accepted.upstream, is_resumed=True)
       await self._runner.perform(running, accepted, place, row)
       return
-    outcome = await self._back.ask_outcome(accepted)
+    outcome = await self._upstreams.query_outcome(accepted)
     if outcome is not None:
-      if not await self._runner.finish(outcome):
+      if not await self._runner.record_outcome(outcome):
         raise runner.make_superseded(accepted.request)
-      self._runner.pass_on(running, outcome)
+      self._runner.deliver_answer(running, outcome)
       return
-    error = upstreams.make_unknown(accepted)
+    error = upstreams.make_outcome_unknown(accepted)
     now = self._runner.clock()
-    failed = runner.make_failed(accepted, error, now=now)
-    if not await self._runner.finish(failed):
+    failure = runner.make_failed(accepted, error, now=now)
+    if not await self._runner.record_outcome(failure):
       raise runner.make_superseded(accepted.request)
     raise error
 
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -1,8 +1,8 @@
-"""The execution of calls: their turn, their records and their outcome.
+"""Execution of calls: their order, their records and their outcomes.
 
-A call is refused as "not run" at any step before it is sent.  Its record
-is committed before it is sent, and its outcome before the caller gets
-the end of the answer.
+A call that fails before it is sent upstream is refused with "not run".  The
+record of a call is committed before the call is sent, and its outcome is
+committed before the caller gets the end of the answer.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 
 log = logging.getLogger('woadrun.runner')
 
-POLL_SECONDS = 0.01
-# Retry-After of a request whose outcome another daemon recorded, in seconds.
-SUPERSEDED_SECONDS = 0.1
+ORDINAL_POLL_SECONDS = 0.01
+# Retry-After value for a request whose outcome another daemon recorded.
+SUPERSEDED_RETRY_AFTER_SECONDS = 0.1
 
 Key = tuple[str, str]
 
 
 class Runner(mode.Service):
-  """The calls that this daemon executes, by program and request."""
+  """Executes calls, and records their outcomes."""
 
   def __init__(
     self,
@@ -62,12 +62,13 @@
     self._table = table
     self._links = links
     self._places = places
-    self._back = back
-    self.turns = execution.Turns()
+    self._upstreams = back
+    self.program_locks = execution.ProgramLocks()
     self.execution_by_key: dict[Key, execution.Execution] = {}
-    # Counts outcomes being recorded: two attempts of a request may overlap.
-    self._finishing: collections.Counter[Key] = collections.Counter()
-    self._keeping: set[asyncio.Task[bool]] = set()
+    # The number of outcomes being recorded for each request.  It is a counter
+    # because the outcomes of two attempts may be recorded at the same time.
+    self._pending_outcomes: collections.Counter[Key] = collections.Counter()
+    self._not_run_tasks: set[asyncio.Task[bool]] = set()
     self._retry_budget_by_row: dict[str, admission.RetryBudget] = {}
     self.clock: Callable[[], float] = time.time
     self.finished = 0
@@ -75,21 +76,21 @@
     held.get_running = self._get_running
 
   def begin(self, call: calls.Call) -> execution.Execution:
-    """Returns the execution of a call that begins now."""
+    """Returns the execution of a call after starting its task."""
     running = execution.make_execution(call)
     key = (call.program, call.request)
     self.execution_by_key[key] = running
     running.task = asyncio.ensure_future(self._execute(running))
     return running
 
-  def is_under_way(self, key: Key) -> bool:
-    """Returns whether this daemon brings a call to its end."""
-    return key in self.execution_by_key or self._finishing[key] > 0
+  def is_in_progress(self, key: Key) -> bool:
+    """Returns whether this daemon executes a call or records its outcome."""
+    return key in self.execution_by_key or self._pending_outcomes[key] > 0
 
-  def cancel(self, name: str, reason: str) -> None:
-    """Breaks off all calls of a program."""
-    for (owner, _), running in list(self.execution_by_key.items()):
-      if owner == name and running.task is not None:
+  def cancel(self, program_id: str, reason: str) -> None:
+    """Cancels all running calls of a program."""
+    for (key_program_id, _), running in list(self.execution_by_key.items()):
+      if key_program_id == program_id and running.task is not None:
         running.cancel_reason = reason
         running.task.cancel()
 
@@ -98,45 +99,49 @@
     key = (call.program, call.request)
     try:
       await self._wait_ordinal(call)
-      await self.turns.enter(call.program)
+      await self.program_locks.acquire(call.program)
       try:
         await self._run(running)
         self.finished += 1
       finally:
-        self.turns.exit(call.program)
+        self.program_locks.release(call.program)
     except errors.WoadrunError as error:
       self.refused += 1
       running.fail(error)
     except asyncio.CancelledError:
       running.fail(make_cancelled(running))
     except Exception:
-      log.exception('A call failed for an unforeseen reason.')
+      log.exception('A call failed with an unexpected exception.')
       ran = errors.Ran.UNKNOWN if running.is_accepted else errors.Ran.NOT_RUN
       running.fail(
-        errors.WoadrunError(errors.Code.INTERNAL, 'Internal fault.', ran=ran)
+        errors.WoadrunError(errors.Code.INTERNAL, 'Internal error.', ran=ran)
       )
     finally:
       self.execution_by_key.pop(key, None)
 
   async def _wait_ordinal(self, call: calls.Call) -> None:
-    """Returns when the call before this one is in the records."""
-    _, number = calls.split_program_id(call.program)
+    """Returns once the call with the previous ordinal is recorded.
+
+    Returns at once for a call without an ordinal.  Raises `out_of_order` if
+    the ordinal was used already, or was not reached in time.
+    """
+    _, slot = calls.split_program_id(call.program)
     deadline = time.monotonic() + self._config.timing.hold
     while call.ordinal:
-      holding = await self._held.open(number)
-      done = holding.state.get_program(call.program).calls
-      if call.ordinal == done + 1:
+      holding = await self._held.open(slot)
+      last_ordinal = holding.state.get_program(call.program).calls
+      if call.ordinal == last_ordinal + 1:
         return
-      if call.ordinal <= done or time.monotonic() > deadline:
-        raise make_out_of_order(done)
-      await asyncio.sleep(POLL_SECONDS)
+      if call.ordinal <= last_ordinal or time.monotonic() > deadline:
+        raise make_out_of_order(last_ordinal)
+      await asyncio.sleep(ORDINAL_POLL_SECONDS)
 
-  # --- One call, straight down ----------------------------------------------
+  # --- Executing one call ---------------------------------------------------
 
   async def _run(self, running: execution.Execution) -> None:
     call = running.call
-    _, number = calls.split_program_id(call.program)
-    holding = await self._held.open(number)
+    _, slot = calls.split_program_id(call.program)
+    holding = await self._held.open(slot)
     found = holding.state.get_program(call.program)
     row = self._check_call(found)
     self._get_retry_budget(row).note_call(row.retry_budget)
@@ -144,22 +149,22 @@
     permit = secrets.token_hex(8)
     async with self._places.permits(call, found, row, plan, permit) as place:
       if not call.repeatable:
-        # Once committed, an action is sent at once or its fate unknown:
-        # its intent waits for no permit.
+        # An action whose intent is committed must be sent at once, or its
+        # outcome is unknown.  The permit is therefore acquired first.
         await self._places.enter(place, found, row, plan.cost)
-      holding = await self._held.open(number)
+      holding = await self._held.open(slot)
       found = holding.state.get_program(call.program)
       self._check_call(found)
       if call.request in found.request_by_id:
-        # The slot may have moved away and back while the call waited, and
-        # another owner served the caller's retry.
+        # While the call waited, the slot may have moved to another owner and
+        # back, and that owner may have executed the caller's retry.
         raise make_superseded(call.request)
       if call.ordinal and call.ordinal != found.calls + 1:
         raise make_out_of_order(found.calls)
-      accepted = self._back.make_accepted(
+      accepted = self._upstreams.make_accepted(
         call, found, plan, place, running.digest, now=self.clock()
       )
-      left_engine = found.engine
+      previous_engine = found.engine
       ticket = self._held.append(holding, [accepted])
       running.is_accepted = True
       try:
@@ -168,8 +173,8 @@
         running.is_accepted = False
         await self._take_back(accepted, error)
         raise
-      if left_engine not in ('', found.engine):
-        self._back.forget_program(call.program, left_engine)
+      if previous_engine not in ('', found.engine):
+        self._upstreams.drop_program_cache(call.program, previous_engine)
       await self.perform(running, accepted, place, row)
 
   async def _settle_and_enter(
@@ -181,7 +186,11 @@
     row: rows.Row,
     plan: placing.Plan,
   ) -> None:
-    """Returns once the record is committed and the upstream has room."""
+    """Returns once the record is committed and the upstream permit is held.
+
+    The permit of an action is already held.  For a repeatable call the commit
+    and the wait for the permit run concurrently.
+    """
     if not accepted.repeatable:
       await self._held.settle(ticket, is_strong=True)
       return
@@ -205,18 +214,19 @@
     if found.calls >= row.max_calls:
       raise errors.WoadrunError(
         errors.Code.LIMIT_REACHED,
-        f'{row.key} allows {row.max_calls} calls for a program.',
+        f'{row.key} allows at most {row.max_calls} calls per program.',
       )
     return row
 
   async def _take_back(
     self, accepted: program.Accepted, error: BaseException
   ) -> None:
-    """Marks a call that was never sent as not run, whoever owns it now.
+    """Records a call that was never sent as not run.
 
-    The record may be held elsewhere.  An action is sent by nobody who
-    finds it; another call would be run again, so its refusal says "not
-    run" only once that is committed.
+    Other daemons may already store the accepted record, and a later owner of
+    the slot may find it.  A later owner never sends an action that it finds,
+    but it executes a repeatable call.  The error of a repeatable call
+    therefore says "not run" only once the outcome "not run" is committed.
     """
     record = program.Finished(
       program=accepted.program,
@@ -226,23 +236,25 @@
       time=self.clock(),
     )
     key = (accepted.program, accepted.request)
-    self._finishing[key] += 1
-    keeping = asyncio.ensure_future(self._keep(record))
-    self._keeping.add(keeping)
-    keeping.add_done_callback(self._keeping.discard)
-    keeping.add_done_callback(lambda _: self._note_recorded(key))
+    self._pending_outcomes[key] += 1
+    recording = asyncio.ensure_future(self._try_record_outcome(record))
+    self._not_run_tasks.add(recording)
+    recording.add_done_callback(self._not_run_tasks.discard)
+    recording.add_done_callback(lambda _: self._decrement_pending(key))
     if accepted.repeatable:
-      await asyncio.wait({keeping}, timeout=self._config.timing.commit)
-      is_kept = keeping.done() and keeping.result()
-      if not is_kept and isinstance(error, errors.WoadrunError):
+      await asyncio.wait({recording}, timeout=self._config.timing.commit)
+      is_recorded = recording.done() and recording.result()
+      if not is_recorded and isinstance(error, errors.WoadrunError):
         error.ran = errors.Ran.UNKNOWN
 
-  async def _keep(self, finished: program.Finished) -> bool:
-    """Returns whether an outcome was committed."""
+  async def _try_record_outcome(self, finished: program.Finished) -> bool:
+    """Returns whether an outcome took effect; logs errors."""
     try:
-      return await self.finish(finished)
+      return await self.record_outcome(finished)
     except errors.WoadrunError as error:
-      log.warning('Outcome of %s not kept: %s', finished.request, error)
+      log.warning(
+        'Cannot commit the outcome of request %s: %s', finished.request, error
+      )
       return False
 
   async def perform(
@@ -252,96 +264,108 @@
     place: placing.Place,
     row: rows.Row,
   ) -> None:
-    """Returns once an accepted call has its outcome, and passes it on."""
-    retries = self._get_retry_budget(row)
+    """Sends an accepted call, records its outcome and delivers the answer.
+
+    Raises the error of a failed call after it was recorded.
+    """
+    retry_budget = self._get_retry_budget(row)
     try:
       if accepted.call == program.MODEL:
-        found = self._get_known(accepted.program)
-        finished = await self._back.run_model(
-          running, accepted, place, found, row, retries
+        found = self._get_owned_program(accepted.program)
+        finished = await self._upstreams.run_model(
+          running, accepted, place, found, row, retry_budget
         )
       else:
-        finished = await self._back.run_service(accepted, row, retries)
+        finished = await self._upstreams.run_service(
+          accepted, row, retry_budget
+        )
     except asyncio.CancelledError:
-      finished = self._make_broken(running, accepted)
-      await self.finish(finished)
+      finished = self._make_cancelled_record(running, accepted)
+      await self.record_outcome(finished)
       raise
     except errors.WoadrunError as error:
-      failed = make_failed(accepted, error, now=self.clock(), used=place.wasted)
-      await self.finish(failed)
+      failure = make_failed(
+        accepted, error, now=self.clock(), used=place.wasted
+      )
+      await self.record_outcome(failure)
       raise
-    if not await self.finish(finished):
-      # Another owner recorded an outcome first; callers must get that one.
+    if not await self.record_outcome(finished):
+      # Another owner recorded an outcome first; callers must get that outcome.
       raise make_superseded(accepted.request)
-    self.pass_on(running, finished)
+    self.deliver_answer(running, finished)
 
-  def _get_known(self, name: str) -> program.Program:
-    _, number = calls.split_program_id(name)
-    holding = self._held.holding_by_slot.get(number)
+  def _get_owned_program(self, program_id: str) -> program.Program:
+    _, slot = calls.split_program_id(program_id)
+    holding = self._held.holding_by_slot.get(slot)
     if holding is None:
-      raise slots.make_not_owner(f'Slot {number} was given away.')
-    return holding.state.get_program(name)
+      raise slots.make_not_owner(
+        f'Slot {slot} was handed over to another daemon.'
+      )
+    return holding.state.get_program(program_id)
 
-  def _make_broken(
+  def _make_cancelled_record(
     self, running: execution.Execution, accepted: program.Accepted
   ) -> program.Finished:
     error = make_cancelled(running)
     if not accepted.repeatable:
       error.ran = errors.Ran.UNKNOWN
-    # What a broken call used is not known; its worst case is charged.
+    # The token usage of a cancelled call is unknown, so its whole reserve is
+    # charged.
     return make_failed(accepted, error, now=self.clock(), used=accepted.reserve)
 
-  def pass_on(
+  def deliver_answer(
     self, running: execution.Execution, finished: program.Finished
   ) -> None:
-    """Gives the end of an answer to all that wait for it."""
+    """Completes the answer of a call for all its readers."""
     if running.tail:
-      running.events.write(running.tail)
-      running.events.finish()
-    running.finish_whole(finished.answer.encode(), status=finished.status)
+      running.stream_answer.write(running.tail)
+      running.stream_answer.finish()
+    running.finish_json(finished.answer.encode(), status=finished.status)
 
-  async def finish(self, finished: program.Finished) -> bool:
+  async def record_outcome(self, finished: program.Finished) -> bool:
     """Returns whether an outcome took effect, once it is committed.
 
-    It does not where another owner recorded one for the call before.
+    It has no effect if another owner recorded an outcome for the call first.
     """
     key = (finished.program, finished.request)
-    self._finishing[key] += 1
+    self._pending_outcomes[key] += 1
     try:
-      return await self._finish(finished)
+      return await self._record_with_retries(finished)
     finally:
-      self._note_recorded(key)
+      self._decrement_pending(key)
 
-  def _note_recorded(self, key: Key) -> None:
-    self._finishing[key] -= 1
-    if not self._finishing[key]:
-      del self._finishing[key]
+  def _decrement_pending(self, key: Key) -> None:
+    self._pending_outcomes[key] -= 1
+    if not self._pending_outcomes[key]:
+      del self._pending_outcomes[key]
 
-  async def _finish(self, finished: program.Finished) -> bool:
-    _, number = calls.split_program_id(finished.program)
+  async def _record_with_retries(self, finished: program.Finished) -> bool:
+    _, slot = calls.split_program_id(finished.program)
     deadline = time.monotonic() + self._config.timing.hold * 2
     while True:
       try:
-        recorded = await self._finish_once(number, finished)
+        recorded = await self._record_once(slot, finished)
         return recorded.has_outcome
       except errors.WoadrunError as error:
         if time.monotonic() > deadline:
           raise errors.WoadrunError(
             errors.Code.OUTCOME_UNKNOWN,
-            'The call ran; its outcome could not be kept.',
+            'The call ran, but its outcome could not be committed.',
             ran=errors.Ran.RAN,
           ) from error
       await asyncio.sleep(self._config.timing.heartbeat / 5)
 
-  async def _finish_once(
-    self, number: int, finished: program.Finished
+  async def _record_once(
+    self, slot: int, finished: program.Finished
   ) -> messages.Recorded:
-    message = messages.Finish(slot=number, record=finished)
-    if number in self._held.holding_by_slot:
+    message = messages.Finish(slot=slot, record=finished)
+    if slot in self._held.holding_by_slot:
       return await self.note_finished(message)
-    owner = self._members.directory.get_owner(self._members.domain, number)
+    owner_address = self._members.directory.get_owner(
+      self._members.domain, slot
+    )
     return await self._links.post(
-      owner,
+      owner_address,
       'finish',
       message,
       type=messages.Recorded,
@@ -349,16 +373,16 @@
     )
 
   async def note_finished(self, message: messages.Finish) -> messages.Recorded:
-    """Commits the outcome of a call, whoever executed it."""
+    """Commits the outcome of a call that any daemon executed."""
     record = message.record
     holding = await self._held.open(message.slot)
     ticket = self._held.append(holding, [record])
     await self._held.settle(ticket, is_strong=False)
     found = holding.state.program_by_id.get(record.program)
-    # A program that is no longer kept had its outcomes.
+    # A program that is no longer stored had its outcomes recorded before.
     has_outcome = found is None or found.has_outcome(record)
     if not has_outcome:
-      log.info('Request %s has another outcome.', record.request)
+      log.info('Request %s already has a different outcome.', record.request)
     return messages.Recorded(has_outcome=has_outcome)
 
   def _get_retry_budget(self, row: rows.Row) -> admission.RetryBudget:
@@ -366,12 +390,12 @@
       row.key, admission.RetryBudget()
     )
 
-  def _get_running(self, number: int) -> list[tuple[int, str, str]]:
+  def _get_running(self, slot: int) -> list[tuple[int, str, str]]:
     return [
-      (number, running.call.program, running.call.request)
+      (slot, running.call.program, running.call.request)
       for running in self.execution_by_key.values()
       if running.is_accepted
-      and calls.split_program_id(running.call.program)[1] == number
+      and calls.split_program_id(running.call.program)[1] == slot
     ]
 
   def dump(self) -> dict[str, object]:
@@ -402,13 +426,14 @@
   now: float,
   used: int = 0,
 ) -> program.Finished:
-  """Returns the record of a call that ended with an error.
+  """Returns the outcome record of a call that ended with an error.
 
-  One that may be repeated makes room for the caller's next try; `used`
-  counts the tokens that it has used up all the same.
+  A repeatable call that was not cancelled is recorded as not run, so that
+  the caller can retry it under the same id.  `used` is the number of tokens
+  that the failed call is charged for.
   """
-  is_open = accepted.repeatable and error.code is not errors.Code.CANCELLED
-  if is_open or error.ran is errors.Ran.NOT_RUN:
+  is_retryable = accepted.repeatable and error.code is not errors.Code.CANCELLED
+  if is_retryable or error.ran is errors.Ran.NOT_RUN:
     return program.Finished(
       program=accepted.program,
       request=accepted.request,
@@ -431,38 +456,38 @@
 
 
 def make_ended(found: program.Program) -> errors.WoadrunError:
-  """Returns the refusal of a call of a program that is over."""
+  """Returns the error for a call to a program that has ended."""
   return errors.WoadrunError(
-    errors.Code.PROGRAM_ENDED, f'The program is over: {found.ended}.'
+    errors.Code.PROGRAM_ENDED, f'The program has ended: {found.ended}.'
   )
 
 
-def make_out_of_order(done: int) -> errors.WoadrunError:
-  """Returns the refusal of a call whose turn it is not."""
+def make_out_of_order(last_ordinal: int) -> errors.WoadrunError:
+  """Returns the error for a call whose ordinal is not the next one."""
   return errors.WoadrunError(
     errors.Code.OUT_OF_ORDER,
-    f'The next call of the program is number {done + 1}.',
+    f'The next ordinal of the program is {last_ordinal + 1}.',
     place='Woadrun-Ordinal',
   )
 
 
 def make_cancelled(running: execution.Execution) -> errors.WoadrunError:
-  """Returns the error of a call that was broken off."""
-  reason = running.cancel_reason or 'the daemon stops'
+  """Returns the error for a call that was cancelled."""
+  reason = running.cancel_reason or 'the daemon is stopping'
   ran = errors.Ran.RAN if running.is_accepted else errors.Ran.NOT_RUN
   return errors.WoadrunError(
-    errors.Code.CANCELLED, f'The call was broken off: {reason}.', ran=ran
+    errors.Code.CANCELLED, f'The call was aborted: {reason}.', ran=ran
   )
 
 
 def make_superseded(request: str) -> errors.WoadrunError:
-  """Returns the error of an attempt that lost to another of its request.
+  """Returns the error for an attempt superseded by another daemon.
 
-  A retry under the same id gets the recorded answer.
+  A retry with the same id gets the answer that the other daemon recorded.
   """
   return errors.WoadrunError(
     errors.Code.OWNER_UNAVAILABLE,
-    f'Request {request} was brought to its end elsewhere.',
+    f'Request {request} was completed by another daemon.',
     ran=errors.Ran.UNKNOWN,
-    retry_after=SUPERSEDED_SECONDS,
+    retry_after=SUPERSEDED_RETRY_AFTER_SECONDS,
   )
--- a/src/woadrun/request/upstreams.py
+++ b/src/woadrun/request/upstreams.py
@@ -1,8 +1,8 @@
-"""The way from an accepted call to its upstream and back.
+"""Sending of accepted calls to their upstreams, and reading of the outcomes.
 
-Sends the call and reads what came of it.  Calls that may be repeated go
-to another upstream when theirs fails, within the retry budget of their
-row.
+Repeatable calls are retried when their upstream fails, within the retry
+budget of their configuration row: a model call at another engine, a service
+call at the same service.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 log = logging.getLogger('woadrun.upstreams')
 
 DROP_ATTEMPTS = 5
-DROP_RETRY_SECONDS = 1.0
-STREAM_FAULTS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+DROP_RETRY_DELAY_SECONDS = 1.0
+STREAM_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class Upstreams(mode.Service):
-  """All engines and services, as the owner of programs uses them."""
+  """Clients of all engines and services, used by the owner of a program."""
 
   def __init__(
     self,
@@ -80,10 +80,10 @@
     *,
     now: float,
   ) -> program.Accepted:
-    """Returns the record of a call that is about to be sent."""
+    """Returns the accepted record of a call that is about to be sent."""
     prepared = plan.prepared
     if prepared is not None:
-      # The budget may have changed while the call waited.
+      # The budget may have changed while the call waited for its permit.
       prepared = model_call.prepare(
         call,
         plan.body,
@@ -104,7 +104,7 @@
       time=now,
       upstream=place.name,
       stream=secrets.token_hex(8),
-      body=_get_kept_body(call, plan),
+      body=_get_stored_body(call, plan),
       messages=list(prepared.messages) if prepared else [],
     )
 
@@ -117,11 +117,15 @@
     place: placing.Place,
     found: program.Program,
     row: rows.Row,
-    retries: admission.RetryBudget,
+    retry_budget: admission.RetryBudget,
   ) -> program.Finished:
-    """Returns the outcome of a model call; its events are passed on."""
+    """Returns the outcome of a model call, forwarding its events meanwhile.
+
+    A call whose engine fails is moved to another engine and starts again
+    from its first token.
+    """
     while True:
-      relay = model_call.Relay(answer=running.events)
+      relay = model_call.Relay(answer=running.stream_answer)
       try:
         await self._stream(relay, running, accepted, place, found)
         return self._read_outcome(relay, running, accepted, place, found)
@@ -129,15 +133,15 @@
         if 400 <= error.status < 500 and not place.is_resumed:
           raise errors.WoadrunError(
             errors.Code.UPSTREAM_FAILED,
-            f'{place.name} refused the call: {error}.',
+            f'{place.name} rejected the call: {error}.',
             ran=errors.Ran.RAN,
           ) from error
-        fault = str(error)
-      except STREAM_FAULTS as error:
-        fault = type(error).__name__
+        reason = str(error)
+      except STREAM_ERRORS as error:
+        reason = type(error).__name__
       place.wasted += relay.received.count(b'\n\n')
-      running.events.begin_again()
-      await self._move(place, accepted, found, row, retries, fault)
+      running.stream_answer.restart()
+      await self._fail_over(place, accepted, found, row, retry_budget, reason)
 
   async def _stream(
     self,
@@ -149,7 +153,7 @@
   ) -> None:
     client = self.engine_by_name[place.name]
     if place.is_resumed:
-      source = client.resume(accepted.stream)
+      stream = client.resume(accepted.stream)
     else:
       body = model_call.make_engine_body(
         msgspec.json.decode(accepted.body),
@@ -162,13 +166,15 @@
         program=accepted.program,
         body=body,
       )
-      source = client.stream(call)
-    running.events.begin(status=200, content_type=calls.STREAM_TYPE)
-    async with contextlib.aclosing(source) as chunks:
+      stream = client.stream(call)
+    running.stream_answer.begin(status=200, content_type=calls.STREAM_TYPE)
+    async with contextlib.aclosing(stream) as chunks:
       async for chunk in chunks:
         relay.feed(chunk)
-    if not relay.is_whole:
-      raise aiohttp.ClientPayloadError('The stream has no end.')
+    if not relay.is_complete:
+      raise aiohttp.ClientPayloadError(
+        'The event stream ended without its [DONE] event.'
+      )
 
   def _read_outcome(
     self,
@@ -178,12 +184,12 @@
     place: placing.Place,
     found: program.Program,
   ) -> program.Finished:
-    read = engine.read_answer(bytes(relay.received))
-    usage = read.usage or engine.Usage()
+    answer = engine.read_answer(bytes(relay.received))
+    usage = answer.usage or engine.Usage()
     self.relayed_tokens += usage.completion_tokens
-    running.tail = bytes(relay.received[relay.passed :])
+    running.tail = bytes(relay.received[relay.forwarded :])
     completion = model_call.make_completion(
-      accepted.request, accepted.target, read, usage
+      accepted.request, accepted.target, answer, usage
     )
     return program.Finished(
       program=accepted.program,
@@ -192,24 +198,29 @@
       outcome=program.OK,
       time=time.time(),
       answer=completion.decode(),
-      used=budget.get_used(found, read.usage, accepted.reserve, place.wasted),
+      used=budget.get_used(found, answer.usage, accepted.reserve, place.wasted),
       history_tokens=usage.prompt_tokens + usage.completion_tokens,
       messages=[
         *accepted.messages,
-        {'role': 'assistant', 'content': read.content},
+        {'role': 'assistant', 'content': answer.content},
       ],
     )
 
-  async def _move(
+  async def _fail_over(
     self,
     place: placing.Place,
     accepted: program.Accepted,
     found: program.Program,
     row: rows.Row,
-    retries: admission.RetryBudget,
-    fault: str,
+    retry_budget: admission.RetryBudget,
+    reason: str,
   ) -> None:
-    """Takes a call whose engine failed to another one."""
+    """Moves a call whose engine failed to another engine.
+
+    A failed attempt to resume a stream excludes no engine and takes nothing
+    from the retry budget.  Raises `upstream_failed` if no engine is left or
+    the retry budget is used up.
+    """
     was_resumed = place.is_resumed
     place.is_ok = was_resumed
     place.is_resumed = False
@@ -221,9 +232,9 @@
       for n in self._places.get_engines(accepted.target, row)
       if n not in place.tried
     ]
-    log.info('%s failed a call: %s.', place.name, fault)
-    if not names or not (was_resumed or retries.take()):
-      raise make_upstream_failed(place.name, fault)
+    log.info('Engine %s failed a call: %s.', place.name, reason)
+    if not names or not (was_resumed or retry_budget.take()):
+      raise make_upstream_failed(place.name, reason)
     self.retries += 1
     place.name = self._places.choose(names, found, found.history_tokens)
     await self._places.enter(
@@ -236,25 +247,26 @@
     self,
     accepted: program.Accepted,
     row: rows.Row,
-    retries: admission.RetryBudget,
+    retry_budget: admission.RetryBudget,
   ) -> program.Finished:
     """Returns the outcome of a service call.
 
-    A call that may not be repeated is sent once; when its outcome is not
-    known the service is asked, and else the caller is told so.
+    An action, which may not be repeated, is sent once.  If its outcome is
+    unknown, the service is queried for it; raises `outcome_unknown` if the
+    service cannot tell.
     """
     while True:
       try:
         return await self._call_service(accepted, row)
       except errors.WoadrunError as error:
-        if accepted.repeatable and retries.take():
+        if accepted.repeatable and retry_budget.take():
           self.retries += 1
           continue
         if error.ran is errors.Ran.UNKNOWN and not accepted.repeatable:
-          outcome = await self.ask_outcome(accepted)
+          outcome = await self.query_outcome(accepted)
           if outcome is not None:
             return outcome
-          raise make_unknown(accepted) from error
+          raise make_outcome_unknown(accepted) from error
         raise
 
   async def _call_service(
@@ -272,45 +284,50 @@
       raise make_upstream_failed(name, f'status {reply.status}')
     return _make_service_outcome(accepted, reply)
 
-  async def ask_outcome(
+  async def query_outcome(
     self, accepted: program.Accepted
   ) -> program.Finished | None:
-    """Returns what the service says that it did, where it can tell."""
+    """Returns the outcome that a service reports for an earlier call.
+
+    Returns None if the service cannot tell.
+    """
     name = accepted.target.partition('/')[0]
     reply = await self._service_by_name[name].ask(make_service_id(accepted))
     return _make_service_outcome(accepted, reply) if reply else None
 
-  # --- Programs that are over -----------------------------------------------
+  # --- Ended programs -------------------------------------------------------
 
-  def forget_program(self, name: str, engine_name: str) -> None:
-    """Gives back the engine memory of a program that is over."""
+  def drop_program_cache(self, program_id: str, engine_name: str) -> None:
+    """Frees the prefix cache that an engine holds for a program."""
     if engine_name in self.engine_by_name:
-      self.add_future(self._drop_cache(name, engine_name))
+      self.add_future(self._drop_cache(program_id, engine_name))
 
-  async def _drop_cache(self, name: str, engine_name: str) -> None:
+  async def _drop_cache(self, program_id: str, engine_name: str) -> None:
     domain = self._places.get_domain(engine_name)
     for _ in range(DROP_ATTEMPTS):
       try:
         await self.engine_by_name[engine_name].drop_cache(
-          name, fencing=self._members.directory.get_fencing(domain)
+          program_id, fencing=self._members.directory.get_fencing(domain)
         )
         return
       except errors.WoadrunError as error:
-        log.debug('Cache of %s not dropped: %s', name, error)
-      await asyncio.sleep(DROP_RETRY_SECONDS)
+        log.debug(
+          'Cannot drop the prefix cache of program %s: %s', program_id, error
+        )
+      await asyncio.sleep(DROP_RETRY_DELAY_SECONDS)
 
-  async def archive(self, name: str, found: program.Program) -> None:
-    """Stores a program that is over, before it leaves the memory."""
-    key = self._get_archive_key(name)
+  async def archive(self, program_id: str, found: program.Program) -> None:
+    """Writes an ended program to the object store."""
+    key = self._get_archive_key(program_id)
     await self._store.put(key, msgspec.json.encode(found))
 
-  async def read_archive(self, name: str) -> program.Program | None:
-    """Returns a program that has left the memory, if there was one."""
-    data = await self._store.get(self._get_archive_key(name))
+  async def read_archive(self, program_id: str) -> program.Program | None:
+    """Returns an archived program, or None if there is none."""
+    data = await self._store.get(self._get_archive_key(program_id))
     return msgspec.json.decode(data, type=program.Program) if data else None
 
-  def _get_archive_key(self, name: str) -> str:
-    return f'history/{self._members.domain}/{name}'
+  def _get_archive_key(self, program_id: str) -> str:
+    return f'history/{self._members.domain}/{program_id}'
 
   def dump(self) -> dict[str, object]:
     """Returns the state of this part as plain data."""
@@ -320,8 +337,9 @@
     }
 
 
-def _get_kept_body(call: calls.Call, plan: placing.Plan) -> str:
-  # A model call's messages are kept once, as what they add to the history.
+def _get_stored_body(call: calls.Call, plan: placing.Plan) -> str:
+  # The messages of a model call are stored once, in the field `messages` of
+  # its record, which holds only those that are new to the history.
   if call.call != program.MODEL:
     return bytes(call.body).decode()
   rest = {k: v for k, v in plan.body.items() if k != 'messages'}
@@ -329,24 +347,24 @@
 
 
 def make_service_id(accepted: program.Accepted) -> str:
-  """Returns the id under which a service sees a call: the same each time."""
+  """Returns the idempotency key of a call, equal for all its attempts."""
   return f'{accepted.program}:{accepted.request}'
 
 
-def make_unknown(accepted: program.Accepted) -> errors.WoadrunError:
-  """Returns the error of an action that may or may not have run."""
+def make_outcome_unknown(accepted: program.Accepted) -> errors.WoadrunError:
+  """Returns the error for an action that may or may not have run."""
   return errors.WoadrunError(
     errors.Code.OUTCOME_UNKNOWN,
-    f'Whether action {make_service_id(accepted)} ran is not known.',
+    f'It is unknown whether action {make_service_id(accepted)} ran.',
     ran=errors.Ran.UNKNOWN,
   )
 
 
-def make_upstream_failed(name: str, fault: str) -> errors.WoadrunError:
-  """Returns the error of a call that its upstream failed."""
+def make_upstream_failed(name: str, reason: str) -> errors.WoadrunError:
+  """Returns the error for a call whose upstream failed."""
   return errors.WoadrunError(
     errors.Code.UPSTREAM_FAILED,
-    f'{name} failed: {fault}.',
+    f'{name} failed: {reason}.',
     ran=errors.Ran.RAN,
     retry_after=1.0,
   )
--- a/tests/test_call_attempts.py
+++ b/tests/test_call_attempts.py
@@ -1,8 +1,9 @@
-"""Records that come late or twice end the attempt they name, and no other.
+"""Late or repeated outcome records affect only the attempt that they name.
 
-A caller's call was answered with 200 and was missing from its program: the
-owner had recorded "not run" for the call's first attempt anew while the second
-one was running.  Of the owner's records, in order:
+The failure that the tests guard against: a call was answered with 200 but was
+missing from its program, because the owner repeated the "not run" record of
+the first attempt while the second attempt was running.  The records of the
+owner, in order:
 
     accepted r   finished r not run   accepted r   finished r not run (again)
     finished r ok (ignored: the request is not known)
@@ -31,7 +32,7 @@
 BUDGET = 100
 RESERVE = 20
 USED = 7
-SHORT_SECONDS = 0.1
+COMMIT_TIMEOUT_SECONDS = 0.1
 
 
 def make_state():
@@ -98,11 +99,13 @@
 
 
 def make_owner(state):
-  """Returns an owner of slot 0 whose standby acknowledges nothing."""
+  """Returns the owner of slot 0, whose standby acknowledges no record."""
   found, _ = members.make_membership(None, '127.0.0.1:8000')
-  timing = found._config.timing.model_copy(update={'commit': SHORT_SECONDS})
+  timing = found._config.timing.model_copy(
+    update={'commit': COMMIT_TIMEOUT_SECONDS}
+  )
   found._config = found._config.model_copy(update={'timing': timing})
-  run = members.make_recovery(found, members.Links(refuse))
+  run = members.make_recovery(found, members.Links(raise_unavailable))
   holding = slots.Holding(
     number=0, version=roster.Version(1), standby='127.0.0.1:8001', state=state
   )
@@ -111,8 +114,8 @@
   return run, holding
 
 
-class Places:
-  """Room for every call, at one upstream."""
+class FakePlacing:
+  """Grants a permit at one upstream to every call."""
 
   def plan(self, call, found, row):
     return placing.Plan(names=['s'])
@@ -125,28 +128,30 @@
     pass
 
 
-class Service:
-  """Answers each call in its own words."""
+class FakeUpstreams:
+  """Answers every call with the same text."""
 
   async def run_service(self, accepted, row, retries):
     return make_ok(accepted.attempt, text='mine')
 
 
-class Table:
-  """One row for all teams."""
+class FakeTable:
+  """Returns the same row for all teams."""
 
   def get_row(self, team, kind):
     return rows.Row(key='t')
 
 
-def refuse(path, message):
-  raise errors.WoadrunError(errors.Code.OWNER_UNAVAILABLE, 'Silent.')
+def raise_unavailable(path, message):
+  raise errors.WoadrunError(
+    errors.Code.OWNER_UNAVAILABLE, 'The daemon does not answer.'
+  )
 
 
 # --- Records -----------------------------------------------------------------
 
 
-def test_a_late_outcome_of_one_attempt_does_not_end_the_next():
+def test_late_outcome_does_not_end_next_attempt():
   state = make_state()
   records = [
     make_accepted('first'),
@@ -164,7 +169,7 @@
 
 
 @pytest.mark.parametrize('outcome', [program.OK, program.FAILED])
-def test_an_answer_of_an_earlier_attempt_does_not_replace_the_next(outcome):
+def test_late_answer_does_not_end_next_attempt(outcome):
   state = make_state()
   records = [
     make_accepted('first'),
@@ -179,7 +184,7 @@
   assert found.reserved == RESERVE
 
 
-def test_records_of_earlier_versions_end_whichever_attempt_is_running():
+def test_record_without_attempt_ends_running_attempt():
   state = make_state()
   for record in (make_accepted('first'), make_ok('')):
     state.apply([record], answers=9)
@@ -190,60 +195,73 @@
 
 
 @pytest.mark.parametrize('repeatable', [True, False])
-async def test_an_attempt_under_way_is_not_taken_back_with_the_one_before(
+async def test_not_run_record_does_not_end_next_attempt(
   repeatable,
 ):
-  """An action so taken back was accepted and sent once more."""
+  """Guards against an action being accepted and sent a second time.
+
+  The "not run" record of the first attempt is repeated while the second
+  attempt is running, and must not remove that attempt.
+  """
   state = make_state()
   run, holding = make_owner(state)
   first = make_accepted('first', repeatable=repeatable)
   state.apply([first], answers=9)
-  error = slots.make_not_committed('Nobody has it.', retry_after=0.1)
+  error = slots.make_not_committed(
+    'No other daemon has acknowledged the record.', retry_after=0.1
+  )
   before = state.sequence
   await run._runner._take_back(first, error)
   while state.sequence == before:
     await asyncio.sleep(0)
-  # The caller's next attempt is committed at the standby, and sent.
+  # The caller's next attempt is committed by the standby and sent.
   second = make_accepted('second', repeatable=repeatable)
   ticket = run._held.append(holding, [second])
-  await asyncio.sleep(2 * SHORT_SECONDS)
+  await asyncio.sleep(2 * COMMIT_TIMEOUT_SECONDS)
   holding.settle(ticket.append.sequence, slots.Held.STANDBY)
-  while run._runner._keeping:
-    await asyncio.sleep(SHORT_SECONDS / 10)
+  while run._runner._not_run_tasks:
+    await asyncio.sleep(COMMIT_TIMEOUT_SECONDS / 10)
     holding.settle(state.sequence, slots.Held.STANDBY)
   run._held.append(holding, [make_ok('second')])
   found = state.get_program(PROGRAM)
   call = make_call(repeatable=repeatable)
-  assert execution.get_stored(
+  assert execution.get_stored_answer(
     found, call, call.get_digest(), is_stream=False
-  ), 'the next request with the same id would run again'
+  ), 'a retry with the same id would run the call again'
   assert found.spent == USED
 
 
-async def test_a_call_is_cared_for_until_its_last_attempt_is_recorded():
-  """A new owner resumed an attempt that its giver was about to take back."""
+async def test_call_is_reported_running_until_last_attempt_is_recorded():
+  """Guards against an attempt being resumed by a new owner too early.
+
+  The previous owner had yet to record "not run" for that attempt, but no
+  longer reported the call as running.
+  """
   state = make_state()
   run, holding = make_owner(state)
   state.apply([make_accepted('first')], answers=9)
   ask = messages.Requests(requests=[(PROGRAM, 'r')])
   first = make_finished('first', program.NOT_RUN)
-  one = asyncio.ensure_future(run._runner.finish(first))
+  first_recording = asyncio.ensure_future(run._runner.record_outcome(first))
   await asyncio.sleep(0)
   sequence = state.sequence
   state.apply([make_accepted('second')], answers=9)
   second = make_finished('second', program.NOT_RUN)
-  other = asyncio.ensure_future(run._runner.finish(second))
+  second_recording = asyncio.ensure_future(run._runner.record_outcome(second))
   await asyncio.sleep(0)
   holding.settle(sequence, slots.Held.STANDBY)
-  await one
+  await first_recording
   assert run.find_running(ask).requests == [(PROGRAM, 'r')]
   holding.settle(state.sequence, slots.Held.STANDBY)
-  await other
+  await second_recording
   assert run.find_running(ask).requests == []
 
 
-async def test_an_attempt_that_was_followed_by_another_is_not_resumed():
-  """It ran again beside the newer one, whose caller got its answer."""
+async def test_superseded_attempt_is_not_resumed():
+  """Guards against a superseded attempt running beside the newer one.
+
+  The caller had already been given the answer of the newer attempt.
+  """
   state = make_state()
   run, _ = make_owner(state)
   first = make_accepted('first')
@@ -252,7 +270,8 @@
   run._elsewhere[key] = None
   recovering = asyncio.ensure_future(run._recover(key, first))
   await asyncio.sleep(0)
-  # The giver takes the first attempt back; the caller's next one begins here.
+  # The previous owner records "not run" for the first attempt, and the
+  # caller's next attempt starts at this daemon.
   records = [
     make_finished('first', program.NOT_RUN),
     make_accepted('second'),
@@ -262,12 +281,15 @@
   run._runner.execution_by_key[key] = newer
   del run._elsewhere[key]
   await recovering
-  is_kept = run._runner.execution_by_key[key] is newer
-  assert is_kept
+  is_unchanged = run._runner.execution_by_key[key] is newer
+  assert is_unchanged
+
 
+async def test_new_owner_waits_for_running_attempt_after_earlier_outcome():
+  """Guards against a running action being recorded as unknown.
 
-async def test_an_attempt_of_the_giver_is_waited_for_after_one_before_it():
-  """An action that its giver still executed was recorded as unknown."""
+  The previous owner was still executing the second attempt of the action.
+  """
   state = make_state()
   run, holding = make_owner(state)
   records = [
@@ -281,10 +303,10 @@
 
   async def note(record):
     message = messages.Finish(slot=0, record=record)
-    noted = asyncio.ensure_future(run.note_finished(message))
+    noting = asyncio.ensure_future(run.note_finished(message))
     await asyncio.sleep(0)
     holding.settle(state.sequence, slots.Held.STANDBY)
-    await noted
+    await noting
 
   await note(make_finished('first', program.NOT_RUN))
   assert key in run._elsewhere
@@ -293,30 +315,37 @@
 
 
 @pytest.mark.parametrize('repeatable', [True, False])
-async def test_a_request_that_another_owner_took_is_not_accepted_again(
+async def test_request_completed_by_another_owner_is_not_accepted_again(
   repeatable,
 ):
-  """Its slot was given away and came back while it waited for its turn."""
+  """The slot moved away and back while the call waited for its turn.
+
+  In the meantime the other owner completed the caller's retry.
+  """
   state = make_state()
   run, _ = make_owner(state)
-  run._runner._table, run._runner._places = Table(), Places()
+  run._runner._table, run._runner._places = FakeTable(), FakePlacing()
   records = [make_accepted('elsewhere', repeatable=repeatable)]
   state.apply([*records, make_ok('elsewhere')], answers=9)
   running = execution.make_execution(make_call(repeatable=repeatable))
   with pytest.raises(errors.WoadrunError) as refusal:
     await run._runner._run(running)
-  # The gateway asks again by this code, and gets the answer that is kept.
+  # The gateway retries on this code and gets the stored answer.
   assert refusal.value.code is errors.Code.OWNER_UNAVAILABLE
   assert refusal.value.ran is errors.Ran.UNKNOWN
   assert state.get_program(PROGRAM).request_by_id['r'].outcome == program.OK
 
 
 @pytest.mark.parametrize('theirs', [program.OK, program.NOT_RUN])
-async def test_callers_are_told_the_outcome_that_the_program_has(theirs):
-  """An owner that was frozen told its own answer after another one's."""
+async def test_callers_get_the_recorded_outcome(theirs):
+  """Guards against callers getting an answer that was not recorded.
+
+  An owner that was frozen returned its own answer after another owner had
+  recorded an outcome.
+  """
   state = make_state()
   run, holding = make_owner(state)
-  run._runner._back = Service()
+  run._runner._upstreams = FakeUpstreams()
   accepted = make_accepted('first', repeatable=False)
   record = make_finished('first', theirs, answer='"theirs"')
   state.apply([accepted, record], answers=9)
@@ -332,15 +361,15 @@
   with pytest.raises(errors.WoadrunError) as refusal:
     await ending
   assert refusal.value.code is errors.Code.OWNER_UNAVAILABLE
-  assert not running.whole.size
+  assert not running.json_answer.size
 
 
-async def test_a_refusal_says_not_run_only_where_the_call_has_no_outcome():
+async def test_error_says_not_run_only_if_the_call_has_no_outcome():
   state = make_state()
   run, holding = make_owner(state)
   accepted = make_accepted('first')
   state.apply([accepted, make_ok('first')], answers=9)
-  error = slots.make_not_owner('The slot changes hands.')
+  error = slots.make_not_owner('The slot is being handed over.')
   taking = asyncio.ensure_future(run._runner._take_back(accepted, error))
   while not holding.tickets:
     await asyncio.sleep(0)
@@ -353,23 +382,23 @@
 
 
 class AttemptMachine(stateful.RuleBasedStateMachine):
-  """An owner accepts, records outcomes late and again, and callers retry."""
+  """Records of accepted attempts and of late and repeated outcomes."""
 
-  names_attempts = True
+  has_attempt_ids = True
 
   def __init__(self):
     super().__init__()
     self.state = make_state()
     self.count = 0
     self.outcomes = []
-    self.told = []
+    self.answered = []
 
   def apply(self, record):
     self.state.apply([record], answers=9)
 
   @stateful.precondition(lambda self: 'r' not in self.get_requests())
   @stateful.rule()
-  def a_caller_tries(self):
+  def accept_attempt(self):
     self.count += 1
     self.apply(make_accepted(f'a{self.count}', ordinal=1))
 
@@ -380,42 +409,46 @@
     lambda self: any(r.is_running for r in self.get_requests().values())
   )
   @stateful.rule(is_ok=strategies.booleans())
-  def an_attempt_ends(self, is_ok):
+  def finish_attempt(self, is_ok):
     attempt = self.get_requests()['r'].accepted.attempt
-    name = attempt if self.names_attempts else ''
-    record = make_ok(name) if is_ok else make_finished(name, program.NOT_RUN)
+    recorded_attempt = attempt if self.has_attempt_ids else ''
+    record = (
+      make_ok(recorded_attempt)
+      if is_ok
+      else make_finished(recorded_attempt, program.NOT_RUN)
+    )
     self.outcomes.append(record)
     self.apply(record)
     if is_ok:
-      self.told.append(attempt)
+      self.answered.append(attempt)
 
   @stateful.precondition(lambda self: self.outcomes)
   @stateful.rule(data=strategies.data())
-  def an_outcome_is_recorded_again(self, data):
+  def repeat_outcome(self, data):
     index = data.draw(strategies.integers(0, len(self.outcomes) - 1))
     self.apply(self.outcomes[index])
 
   @stateful.invariant()
-  def a_running_attempt_ends_only_by_its_own_outcome(self):
+  def running_attempt_has_no_outcome(self):
     request = self.get_requests().get('r')
     is_ended = any(o.attempt == f'a{self.count}' for o in self.outcomes)
-    if self.count and self.names_attempts and not is_ended:
+    if self.count and self.has_attempt_ids and not is_ended:
       assert request is not None and request.is_running
 
   @stateful.invariant()
-  def what_was_told_is_in_the_history_and_spent(self):
+  def answers_are_in_history_and_charged(self):
     found = self.state.get_program(PROGRAM)
-    assert len(found.history) == len(self.told)
-    assert found.spent == USED * len(self.told)
+    assert len(found.history) == len(self.answered)
+    assert found.spent == USED * len(self.answered)
 
 
-class NamelessMachine(AttemptMachine):
-  """Outcomes name the request only, as in records of earlier versions."""
+class LegacyRecordMachine(AttemptMachine):
+  """Outcomes without an attempt, as in records of earlier versions."""
 
-  names_attempts = False
+  has_attempt_ids = False
 
 
-def test_outcomes_that_are_recorded_again_change_nothing():
+def test_repeated_outcomes_have_no_effect():
   stateful.run_state_machine_as_test(
     AttemptMachine,
     settings=hypothesis.settings(max_examples=100, stateful_step_count=20),
@@ -423,13 +456,14 @@
 
 
 @pytest.mark.parametrize(
-  ('machine', 'has_lost'), [(AttemptMachine, False), (NamelessMachine, True)]
+  ('machine', 'has_lost'),
+  [(AttemptMachine, False), (LegacyRecordMachine, True)],
 )
-def test_an_outcome_must_name_its_attempt(machine, has_lost):
-  played = machine()
-  played.a_caller_tries()
-  played.an_attempt_ends(is_ok=False)
-  played.a_caller_tries()
-  played.apply(played.outcomes[0])
-  is_lost = 'r' not in played.get_requests()
+def test_outcome_must_name_its_attempt(machine, has_lost):
+  driven = machine()
+  driven.accept_attempt()
+  driven.finish_attempt(is_ok=False)
+  driven.accept_attempt()
+  driven.apply(driven.outcomes[0])
+  is_lost = 'r' not in driven.get_requests()
   assert is_lost == has_lost
