--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""Requests end to end, through daemons in separate processes."""
 
 import asyncio
 
@@ -9,54 +9,58 @@
 from woadrun.standins import local
 
 
-async def test_a_program_is_served_from_one_end_to_the_other(tmp_path):
+async def test_program_runs_end_to_end(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nns') as fleet:
     caller = fleet.make_client()
-    found = await caller.start('riders', 10_000, request='start-1')
-    name = found['id']
-    first = await caller.say(name, 'a b c', model=local.MODEL, request='r1')
+    started = await caller.start('riders', 10_000, request='start-1')
+    program_id = started['id']
+    first = await caller.say(
+      program_id, 'a b c', model=local.MODEL, request='r1'
+    )
     await asyncio.sleep(0.05)
-    whole = await caller.say(
-      name, 'd e', model=local.MODEL, request='r2', is_stream=False
+    second = await caller.say(
+      program_id, 'd e', model=local.MODEL, request='r2', is_stream=False
+    )
+    charged = await caller.act(
+      program_id, 'service-0/charge', {'x': 1}, request='r3'
     )
-    acted = await caller.act(name, 'service-0/charge', {'x': 1}, request='r3')
-    child = await caller.start('riders', 1000, parent=name)
+    child = await caller.start('riders', 1000, parent=program_id)
     await caller.say(child['id'], 'sub', model=local.MODEL)
     await caller.ask('POST', f'/v1/programs/{child["id"]}/end')
-    ended = await caller.ask('POST', f'/v1/programs/{name}/end')
-    history = await caller.ask('GET', f'/v1/programs/{name}/history')
-    # A retry of each request, through any daemon, gets the same answer.
+    ended = await caller.ask('POST', f'/v1/programs/{program_id}/end')
+    history = await caller.ask('GET', f'/v1/programs/{program_id}/history')
+    # A retry of each request gets the same answer through any daemon.
     for node in fleet.nodes:
-      again = fleet.make_client(node)
-      same = await again.start('riders', 10_000, request='start-1')
-      assert same['id'] == name
-      assert first == await again.say(
-        name, 'a b c', model=local.MODEL, request='r1'
+      client = fleet.make_client(node)
+      retried = await client.start('riders', 10_000, request='start-1')
+      assert retried['id'] == program_id
+      assert first == await client.say(
+        program_id, 'a b c', model=local.MODEL, request='r1'
       )
-      assert acted == await again.act(
-        name, 'service-0/charge', {'x': 1}, request='r3'
+      assert charged == await client.act(
+        program_id, 'service-0/charge', {'x': 1}, request='r3'
       )
     runs = fleet.outside.services[0].runs_by_id
-  assert acted['runs'] == 1
+  assert charged['runs'] == 1
   assert list(runs.values()) == [1]
   assert ended['state'] == 'ended' and ended['carved'] == 0
   assert 0 < ended['spent'] <= ended['budget']
   texts = [m['content'] for m in history['messages']]
-  assert texts == ['a b c', first, 'd e', whole]
+  assert texts == ['a b c', first, 'd e', second]
   assert [r['outcome'] for r in history['requests']] == ['ok'] * 3
 
 
-async def test_bad_input_is_refused_with_its_place(tmp_path):
+async def test_invalid_input_is_refused_with_its_place(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nn') as fleet:
     caller = fleet.make_client()
-    name = (await caller.start('riders', 500))['id']
-    before = await caller.ask('GET', f'/v1/programs/{name}')
+    program_id = (await caller.start('riders', 500))['id']
+    before = await caller.ask('GET', f'/v1/programs/{program_id}')
     chat = '/v1/chat/completions'
     message = {'role': 'user', 'content': 'x'}
     body = {'model': local.MODEL, 'messages': [message]}
-    head = {'Woadrun-Program': name}
+    head = {'Woadrun-Program': program_id}
 
-    async def refuse(path, body, headers=None, method='POST'):
+    async def get_refusal(path, body, headers=None, method='POST'):
       return await fleets.get_refusal(
         caller.ask(method, path, body, headers=headers)
       )
@@ -83,22 +87,23 @@
        'unknown_program', 'Woadrun-Program'),
       ((chat, body, {'Woadrun-Program': 'rubbish'}),
        'unknown_program', 'Woadrun-Program'),
-      ((f'/v1/programs/{name}/services/none/x', {}), 'unknown_service', ''),
+      ((f'/v1/programs/{program_id}/services/none/x', {}),
+       'unknown_service', ''),
     ]  # fmt: skip
     for arguments, code, place in cases:
-      error = await refuse(*arguments)
+      error = await get_refusal(*arguments)
       assert (error.code, error.place) == (code, place), arguments
       assert error.ran is errors.Ran.NOT_RUN
-    assert await caller.ask('GET', f'/v1/programs/{name}') == before
-    await caller.say(name, 'x', model=local.MODEL, request='first')
-    error = await refuse(chat, body, head)
+    assert await caller.ask('GET', f'/v1/programs/{program_id}') == before
+    await caller.say(program_id, 'x', model=local.MODEL, request='first')
+    error = await get_refusal(chat, body, head)
     assert error.code == 'history_mismatch'
     error = await fleets.get_refusal(
-      caller.say(name, 'other', model=local.MODEL, request='first')
+      caller.say(program_id, 'other', model=local.MODEL, request='first')
     )
     assert error.code == 'request_conflict'
     error = await fleets.get_refusal(
-      caller.say(name, 'x', model=local.MODEL, ordinal=1)
+      caller.say(program_id, 'x', model=local.MODEL, ordinal=1)
     )
     assert error.code == 'out_of_order'
 
@@ -107,7 +112,9 @@
   ('data', 'code', 'status'),
   [(b'{"team": ', 'bad_json', 400), (b'{}' * 40_000, 'body_too_large', 413)],
 )
-async def test_broken_and_oversized_bodies(tmp_path, data, code, status):
+async def test_malformed_and_oversized_bodies_are_refused(
+  tmp_path, data, code, status
+):
   small = {'limits': {'body_bytes': 20_000}}
   async with fleets.make_fleet(tmp_path, 'n', small) as fleet:
     url = f'http://{fleet.nodes[0].listen}/v1/programs'
