--- a/src/woadrun/request/calls.py
+++ b/src/woadrun/request/calls.py
@@ -27,7 +27,7 @@
   authorized for.  `ordinal` is the position of the call in its program,
   counted from 1, or 0 if the caller gives none.  With `is_append` the
   messages of the call are appended to the history of the program;
-  otherwise they include the history.
+  otherwise they start with the history.
   """
 
   program: str
@@ -157,7 +157,7 @@
   ) -> Answer:
     """Returns a complete answer."""
     answer = cls(digest=digest)
-    answer.begin(status=status, content_type=content_type)
+    answer.set_head(status=status, content_type=content_type)
     answer.write(data)
     answer.finish()
     return answer
@@ -167,8 +167,8 @@
     """Returns the number of bytes written so far."""
     return sum(map(len, self._chunks))
 
-  def begin(self, *, status: int, content_type: str) -> None:
-    """Sets the status and content type, and wakes waiting readers."""
+  def set_head(self, *, status: int, content_type: str) -> None:
+    """Sets the status and content type, which wakes `wait_begun`."""
     self.status = status
     self.content_type = content_type
     self._head_ready.set()
--- a/src/woadrun/request/execution.py
+++ b/src/woadrun/request/execution.py
@@ -46,11 +46,11 @@
 
     The same JSON completes an event stream to which nothing was written.
     """
-    self.json_answer.begin(status=status, content_type=calls.JSON_TYPE)
+    self.json_answer.set_head(status=status, content_type=calls.JSON_TYPE)
     self.json_answer.write(data)
     self.json_answer.finish()
     if not self.stream_answer.is_done and not self.stream_answer.size:
-      self.stream_answer.begin(status=status, content_type=calls.JSON_TYPE)
+      self.stream_answer.set_head(status=status, content_type=calls.JSON_TYPE)
       self.stream_answer.write(data)
       self.stream_answer.finish()
 
--- a/src/woadrun/request/owner.py
+++ b/src/woadrun/request/owner.py
@@ -210,7 +210,9 @@
           raise execution.make_conflict(call.request)
         return running.get_answer(is_stream=is_stream)
       if call.request not in found.request_by_id:
-        return self._runner.begin(call).get_answer(is_stream=is_stream)
+        return self._runner.start_execution(call).get_answer(
+          is_stream=is_stream
+        )
       if time.monotonic() > deadline:
         raise errors.WoadrunError(
           errors.Code.OWNER_UNAVAILABLE,
--- a/src/woadrun/request/recovery.py
+++ b/src/woadrun/request/recovery.py
@@ -76,7 +76,7 @@
     return messages.Done()
 
   async def _poll_previous_owner(self, handover: messages.Handover) -> None:
-    """Polls the previous owner until it finishes no more of its calls.
+    """Polls the previous owner until none of its calls is left to finish.
 
     The previous owner sends the outcome of a call before it stops reporting
     the call as running.  A call that it no longer reports and that has no
@@ -144,8 +144,8 @@
 
   @mode.Service.task
   async def _scan_for_orphans(self) -> None:
-    # Every accepted call must get an outcome, also one that this or another
-    # daemon gave up.
+    # Every accepted call must get exactly one outcome, also a call that this
+    # or another daemon gave up.
     while not self.should_stop:
       await self.sleep(ORPHAN_SCAN_INTERVAL_SECONDS)
       for holding in list(self._held.holding_by_slot.values()):
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -1,8 +1,9 @@
 """Execution of calls: their order, their records and their outcomes.
 
-A call that fails before it is sent upstream is refused with "not run".  The
-record of a call is committed before the call is sent, and its outcome is
-committed before the caller gets the end of the answer.
+A call that fails before it is sent upstream is refused with "not run", or
+with "unknown" if another daemon may still execute it.  The record of a call is
+committed before the call is sent, and its outcome is committed before the
+caller gets the end of the answer.
 """
 
 from __future__ import annotations
@@ -75,7 +76,7 @@
     self.refused = 0
     held.get_running = self._get_running
 
-  def begin(self, call: calls.Call) -> execution.Execution:
+  def start_execution(self, call: calls.Call) -> execution.Execution:
     """Returns the execution of a call after starting its task."""
     running = execution.make_execution(call)
     key = (call.program, call.request)
--- a/src/woadrun/request/upstreams.py
+++ b/src/woadrun/request/upstreams.py
@@ -167,7 +167,7 @@
         body=body,
       )
       stream = client.stream(call)
-    running.stream_answer.begin(status=200, content_type=calls.STREAM_TYPE)
+    running.stream_answer.set_head(status=200, content_type=calls.STREAM_TYPE)
     async with contextlib.aclosing(stream) as chunks:
       async for chunk in chunks:
         relay.feed(chunk)
