--- a/src/woadrun/process/beats.py
+++ b/src/woadrun/process/beats.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons: what one says of itself and of its domain."""
+"""Heartbeats of daemons, and the digests of whole failure domains."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Member:
-  """A daemon; `address` is where other daemons reach it."""
+  """A daemon of the fleet; other daemons reach it at `address`, IP:PORT."""
 
   name: str
   address: str
@@ -17,18 +17,20 @@
 
 
 class Digest(msgspec.Struct, kw_only=True, omit_defaults=True):
-  """What one hub tells of all members of its domain.
-
-  `age` is how long ago it was made, in seconds.  `silent`, `leaving` and
-  `storeless` name members: those that the hub does not hear, that are about
-  to stop, and that the store turns away.  `deaf_to` names the other domains
-  of which a member hears nothing.  `is_owing` and `is_behind` say that a member
-  does so in its own datagrams.  `running` sums the requests that the members
-  have at each instance, `failing` the failures that they saw there; both are
-  None where the receiver has them from elsewhere.  `confirmed` is the newest
-  that the members tell.  The oldest datagram in all
-  this was `oldest` seconds old when the digest was made, which is None while
-  the hub has not heard of all members.
+  """The state of all members of a domain, as one hub of it reports.
+
+  `age` is how long ago the digest was made, in seconds.  `silent`, `leaving`
+  and `storeless` name the members that the hub does not hear, that are about to
+  stop, and that have no access to the store.  `deaf_to` names the other domains
+  of which any member hears nothing.  `is_owing` and `is_behind` are set if they
+  are set in the heartbeat of any member.  `running` sums the requests that the
+  members have in progress at each instance, `failing` the failures that they
+  saw there; both are None where the receiver gets them from another hub or, for
+  other domains, as the sum `elsewhere` of a heartbeat.  `confirmed` is the
+  newest value of all members.  `oldest` is the age of the oldest heartbeat in
+  the digest when the digest was made, in seconds; it is None until the hub has
+  heard all members, or has been a hub for long enough to call the others
+  silent.
   """
 
   hub: str
@@ -47,18 +49,19 @@
 
 
 class Beat(msgspec.Struct, kw_only=True, omit_defaults=True):
-  """What a daemon says of itself in a datagram.
-
-  `feeds` has the newest change known of each table.  `running` counts the
-  requests that it has at each instance, `failing` the failures of late that it
-  saw there, older ones counting less; `silent` names the domains of which
-  it hears nothing.  `is_owing` says that it has spent of other domains'
-  programs what the store does not have yet, `is_behind` that the store lacks
-  anything of what it keeps.  With `wants_digests` the receiver is asked for
-  digests, which come in `digests`.  `elsewhere` then sums the requests that
-  all other domains have at each instance.  `confirmed` holds a reading of the
-  store's clock, in seconds, and the newest change of the routing table that was
-  made before it.
+  """A heartbeat: the state of one daemon, as it reports itself.
+
+  `feeds` holds the number of the newest known change of each table.  `running`
+  counts the requests that the daemon has in progress at each instance,
+  `failing` the recent failures that it saw there, with older ones counting
+  less.  `silent` names the domains of which the daemon hears nothing.
+  `is_owing` says that the daemon has spent from the budgets of other domains'
+  programs and that the store does not have this spending yet, `is_behind` that
+  the store lacks data of this daemon that others need before they decide.
+  `wants_digests` asks the receiver for digests; a hub sends them in `digests`,
+  and the requests that all other domains have in progress, summed by instance,
+  in `elsewhere`.  `confirmed` holds a reading of the store's clock, in seconds,
+  and the newest change of the routing table made before it.
   """
 
   name: str
@@ -79,8 +82,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Heard:
-  """The last datagram of a peer, and when it came."""
+class LastHeartbeat:
+  """The last heartbeat of a peer; `at` is its monotonic time of arrival."""
 
   beat: Beat
   at: float
--- a/src/woadrun/process/counters.py
+++ b/src/woadrun/process/counters.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of a daemon, in Prometheus' text format."""
+"""Metrics of a daemon, in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -9,13 +9,24 @@
 from prometheus_client import core
 from prometheus_client import registry
 
-# Bounds of the histogram of latencies, in seconds: from a call within the
+# Bucket bounds of the latency histogram, in seconds: from a call within the
 # domain to the longest deadline.
-BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+LATENCY_BUCKETS_SECONDS = (
+  0.01,
+  0.025,
+  0.05,
+  0.1,
+  0.25,
+  0.5,
+  1.0,
+  2.5,
+  5.0,
+  10.0,
+)
 
 
 class Counters:
-  """What a daemon counts; each daemon has a registry of its own."""
+  """The metrics of one daemon, in a registry of its own."""
 
   def __init__(self) -> None:
     self.registry = prometheus_client.CollectorRegistry()
@@ -29,32 +40,35 @@
       'woadrun_answer_seconds',
       'Time from the request to the end of its answer.',
       ('kind',),
-      buckets=BUCKETS,
+      buckets=LATENCY_BUCKETS_SECONDS,
       registry=self.registry,
     )
 
   def note_answer(self, kind: str, outcome: str, started: float) -> None:
-    """Counts an answer; `started` is on the monotonic clock."""
+    """Records an answer and its latency.
+
+    `started` is when the request began, on the monotonic clock.
+    """
     self._answers.labels(kind, outcome).inc()
     self._seconds.labels(kind).observe(time.monotonic() - started)
 
   def add_gauges(self, read: Callable[[], dict[str, float]]) -> None:
-    """Adds gauges that are read whenever somebody asks."""
+    """Registers gauges; `read` is called on each collection."""
     self.registry.register(_Gauges(read=read))
 
   def encode(self) -> bytes:
-    """Returns all figures as text."""
+    """Returns all metrics in the Prometheus text format."""
     return prometheus_client.generate_latest(self.registry)
 
 
 class _Gauges(registry.Collector):
-  """Gauges by name, read when they are asked for."""
+  """Collects gauges by name from a callback."""
 
   def __init__(self, *, read: Callable[[], dict[str, float]]) -> None:
     self._read = read
 
   def collect(self) -> list[core.Metric]:
-    """Returns the gauges as they are now."""
+    """Returns the current values of the gauges."""
     return [
       core.GaugeMetricFamily(f'woadrun_{name}', name, value=value)
       for name, value in self._read().items()
--- a/src/woadrun/process/datagram_calls.py
+++ b/src/woadrun/process/datagram_calls.py
@@ -1,9 +1,9 @@
-"""Short messages to peers and their answers, as datagrams.
+"""Requests to peers and their responses, as datagrams.
 
-In a fleet of hundreds a daemon seldom speaks twice to the same peer while a
-connection rests, so that each message over HTTP made a connection of its own.
-A message that is too large for a datagram, or to which nobody answers, goes
-over HTTP.
+In a fleet of hundreds a daemon seldom sends twice to the same peer before an
+idle connection expires, so that each message over HTTP opened a connection of
+its own.  A message that is too large for a datagram, or that is not answered,
+is sent over HTTP.
 """
 
 from __future__ import annotations
@@ -27,22 +27,24 @@
 
 T = TypeVar('T')
 
-# Until a message without any answer is sent again, in seconds: a round trip
-# takes a few milliseconds, and datagrams are lost now and then.
-AGAIN_SECONDS = 0.1
-# Sends without an answer before the message goes over HTTP, where a process
-# that is gone is found out at once.
-MOST_UNHEARD = 2
-# Between questions whether the peer still works on a message, in seconds: the
-# answer itself may have been lost.
-ASK_SECONDS = 0.3
-# Statuses beside those of HTTP: the peer works on it; the answer is too large.
-WORKING = 102
+# Time without a response after which a message is sent again, in seconds.  A
+# round trip takes a few milliseconds, and datagrams are occasionally lost.
+RETRANSMIT_TIMEOUT_SECONDS = 0.1
+# Number of consecutive sends without an acknowledgement or a response before a
+# message is sent over HTTP, which detects a stopped process at once.
+MAX_UNACKNOWLEDGED_SENDS = 2
+# Further wait for the response once the peer has acknowledged a message, in
+# seconds.  The message is then sent again, since the response itself may have
+# been lost.
+RESPONSE_TIMEOUT_SECONDS = 0.3
+# Status codes of responses beside those of the handlers: the peer is still
+# processing the message; the response is too large for a datagram.
+PROCESSING = 102
 TOO_LARGE = 413
 
 
 class Call(msgspec.Struct, frozen=True, array_like=True):
-  """A message; the answer goes to `reply_to`, IP:PORT, under its `id`."""
+  """A request; the response is sent to `reply_to`, IP:PORT, with its `id`."""
 
   id: int
   reply_to: str
@@ -50,8 +52,8 @@
   body: bytes
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True):
-  """The answer to the message `id`; without status 200 the body is an error."""
+class Response(msgspec.Struct, frozen=True, array_like=True):
+  """The response to request `id`; `body` is an error unless `status` is 200."""
 
   id: int
   status: int
@@ -59,21 +61,25 @@
 
 
 class _Pending:
-  """A message without an answer; `is_heard` says that the peer has it."""
+  """A request without a response yet.
+
+  `is_acknowledged` says whether the peer has acknowledged the last send.
+  """
 
   def __init__(self) -> None:
-    self.answer: asyncio.Future[Answer] = (
+    self.response: asyncio.Future[Response] = (
       asyncio.get_running_loop().create_future()
     )
-    self.is_heard = False
+    self.is_acknowledged = False
 
 
 class DatagramCalls:
-  """Sends messages to peers and answers theirs.
+  """Sends requests to peers and answers the requests of peers.
 
-  `address` is where this daemon's datagrams come from.  Handlers must bear the
-  same message twice.  What does not fit goes by `links`.  `messages` counts
-  those that were answered by a datagram.
+  `address` is the address to which peers respond.  Handlers must be idempotent,
+  since the same message may be handled twice.  Messages that are too large for
+  a datagram are sent over HTTP by `links`.  `messages` counts the requests that
+  were answered by a datagram.
   """
 
   def __init__(
@@ -85,18 +91,19 @@
     handler_by_path: dict[str, peer_messages.Handler],
   ) -> None:
     self._address = address
-    self._sent = sent
+    self._datagrams = sent
     self._links = links
     self._handler_by_path = handler_by_path
-    # A process that was started again must not take answers to the one before.
+    # IDs start at a random number so that a restarted process does not accept
+    # responses to requests of its previous run.
     self._ids = itertools.count(random.getrandbits(52))
     self._pending_by_id: dict[int, _Pending] = {}
     self._task_by_call: dict[tuple[str, int], asyncio.Task[None]] = {}
     self.messages = 0
     sent.handle(datagrams.CALL, self._receive_call)
-    sent.handle(datagrams.ANSWER, self._receive_answer)
+    sent.handle(datagrams.RESPONSE, self._receive_response)
 
-  # --- Messages of this daemon ----------------------------------------------
+  # --- Requests of this daemon ----------------------------------------------
 
   async def post(
     self,
@@ -107,94 +114,106 @@
     type: type[T],
     timeout: float,
   ) -> T:
-    """Returns a peer's answer to one message; raises as `Peers.post` does."""
-    began = time.monotonic()
+    """Returns a peer's response to one message.
+
+    Raises the same errors as `Peers.post`.
+    """
+    started_at = time.monotonic()
     body = self._links.encode(message)
-    if len(body) <= datagrams.MOST_ANSWER_BYTES and self._sent.is_open:
-      answer = await self._call(address, path, body, timeout)
-      if answer is not None:
+    if len(body) <= datagrams.MAX_CALL_BYTES and self._datagrams.is_open:
+      response = await self._call(address, path, body, timeout)
+      if response is not None:
         self.messages += 1
-        return self._links.decode(answer.status, answer.body, type)
-    left = timeout - (time.monotonic() - began)
+        return self._links.decode(response.status, response.body, type)
+    left = timeout - (time.monotonic() - started_at)
     return await self._links.post(
-      address, path, message, type=type, timeout=max(AGAIN_SECONDS, left)
+      address,
+      path,
+      message,
+      type=type,
+      timeout=max(RETRANSMIT_TIMEOUT_SECONDS, left),
     )
 
   def note_silence(self, address: str) -> None:
-    """Uses new connections to a peer from now on."""
+    """Makes HTTP messages to a peer use new connections from now on."""
     self._links.note_silence(address)
 
   async def _call(
     self, address: str, path: str, body: bytes, timeout: float
-  ) -> Answer | None:
-    """Returns the answer, None where the message should go over HTTP."""
+  ) -> Response | None:
+    """Returns the response, or None if the message must be sent over HTTP."""
     call = Call(
       id=next(self._ids), reply_to=self._address, path=path, body=body
     )
     data = msgspec.msgpack.encode(call)
     pending = self._pending_by_id[call.id] = _Pending()
     deadline = time.monotonic() + timeout
-    unheard = 0
+    unacknowledged = 0
     try:
-      while unheard < MOST_UNHEARD and time.monotonic() < deadline:
-        pending.is_heard = False
-        self._sent.send(address, datagrams.CALL, data)
-        answer = await self._wait(pending)
-        if answer is not None:
-          return None if answer.status == TOO_LARGE else answer
-        unheard = 0 if pending.is_heard else unheard + 1
+      while (
+        unacknowledged < MAX_UNACKNOWLEDGED_SENDS
+        and time.monotonic() < deadline
+      ):
+        pending.is_acknowledged = False
+        self._datagrams.send(address, datagrams.CALL, data)
+        response = await self._wait(pending)
+        if response is not None:
+          return None if response.status == TOO_LARGE else response
+        unacknowledged = 0 if pending.is_acknowledged else unacknowledged + 1
     finally:
       del self._pending_by_id[call.id]
     return None
 
-  async def _wait(self, pending: _Pending) -> Answer | None:
-    await asyncio.wait((pending.answer,), timeout=AGAIN_SECONDS)
-    if pending.is_heard and not pending.answer.done():
-      await asyncio.wait((pending.answer,), timeout=ASK_SECONDS)
-    return pending.answer.result() if pending.answer.done() else None
+  async def _wait(self, pending: _Pending) -> Response | None:
+    await asyncio.wait((pending.response,), timeout=RETRANSMIT_TIMEOUT_SECONDS)
+    if pending.is_acknowledged and not pending.response.done():
+      await asyncio.wait((pending.response,), timeout=RESPONSE_TIMEOUT_SECONDS)
+    return pending.response.result() if pending.response.done() else None
 
-  def _receive_answer(self, data: bytes) -> None:
+  def _receive_response(self, data: bytes) -> None:
     try:
-      answer = msgspec.msgpack.decode(data, type=Answer)
+      response = msgspec.msgpack.decode(data, type=Response)
     except msgspec.MsgspecError as error:
-      log.warning('Ignored an answer: %s', error)
+      log.warning('Ignored a malformed response datagram: %s', error)
       return
-    pending = self._pending_by_id.get(answer.id)
-    if pending is None or pending.answer.done():
+    pending = self._pending_by_id.get(response.id)
+    if pending is None or pending.response.done():
       return
-    if answer.status == WORKING:
-      pending.is_heard = True
+    if response.status == PROCESSING:
+      pending.is_acknowledged = True
     else:
-      pending.answer.set_result(answer)
+      pending.response.set_result(response)
 
-  # --- Messages of peers ----------------------------------------------------
+  # --- Requests of peers ----------------------------------------------------
 
   def _receive_call(self, data: bytes) -> None:
     try:
       call = msgspec.msgpack.decode(data, type=Call)
     except msgspec.MsgspecError as error:
-      log.warning('Ignored a message: %s', error)
+      log.warning('Ignored a malformed request datagram: %s', error)
       return
     if call.path not in self._handler_by_path:
-      self._answer(call, errors.STATUS_BY_CODE[errors.Code.UNKNOWN_SERVICE])
+      self._send_response(
+        call, errors.STATUS_BY_CODE[errors.Code.UNKNOWN_SERVICE]
+      )
       return
     key = (call.reply_to, call.id)
     if key in self._task_by_call:
-      self._answer(call, WORKING)
+      self._send_response(call, PROCESSING)
       return
-    task = asyncio.ensure_future(self._work(call))
+    task = asyncio.ensure_future(self._handle_call(call))
     self._task_by_call[key] = task
     task.add_done_callback(lambda _: self._task_by_call.pop(key, None))
 
-  async def _work(self, call: Call) -> None:
+  async def _handle_call(self, call: Call) -> None:
     reply = await self._handler_by_path[call.path](call.body)
-    if len(reply.body) > datagrams.MOST_ANSWER_BYTES:
-      self._answer(call, TOO_LARGE)
+    if len(reply.body) > datagrams.MAX_CALL_BYTES:
+      self._send_response(call, TOO_LARGE)
     else:
-      self._answer(call, reply.status, reply.body)
+      self._send_response(call, reply.status, reply.body)
 
-  def _answer(self, call: Call, status: int, body: bytes = b'') -> None:
-    answer = Answer(id=call.id, status=status, body=body)
-    self._sent.send(
-      call.reply_to, datagrams.ANSWER, msgspec.msgpack.encode(answer)
+  def _send_response(self, call: Call, status: int, body: bytes = b'') -> None:
+    response = Response(id=call.id, status=status, body=body)
+    self._datagrams.send(
+      call.reply_to, datagrams.RESPONSE, msgspec.msgpack.encode(response)
     )
--- a/src/woadrun/process/datagrams.py
+++ b/src/woadrun/process/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons, each with a first byte that tells what it is."""
+"""Datagrams between daemons, whose first byte is the kind of datagram."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from woadrun.connection import endpoints
 
 BEAT = b'b'
-# A program, for its standby or for another domain.
+# A copy of a program, for its standby or for another domain.
 COPY = b'c'
 FAR_COPY = b'f'
-# A message that is answered, and its answer.
+# A request, and the response to it.
 CALL = b'q'
-ANSWER = b'a'
-# Larger messages go another way, in bytes: a datagram is split into packets and
-# lost with any of them.
+RESPONSE = b'a'
+# Size limit, in bytes.  Larger messages are sent over another transport: a
+# datagram is split into packets and is lost if any of them is lost.
 MOST_BYTES = 8192
-# The same where a lost datagram is sent again: most histories of a turn.
-MOST_ANSWER_BYTES = 32_768
+# Size limit where a lost datagram is sent again, in bytes: most histories of a
+# turn fit.
+MAX_CALL_BYTES = 32_768
 
 
 class Datagrams:
-  """The socket by which one daemon sends and receives datagrams.
+  """The UDP socket by which one daemon sends and receives datagrams.
 
-  `address` is IP:PORT.  A datagram may be lost, and nobody is told.
+  `address` is IP:PORT.  A datagram may be lost without an error.
   """
 
   def __init__(self, *, address: str) -> None:
@@ -33,7 +34,7 @@
     self._transport: asyncio.DatagramTransport | None = None
 
   def handle(self, kind: bytes, handler: Callable[[bytes], None]) -> None:
-    """Hands what comes of a kind to a handler, without its first byte."""
+    """Registers the handler of a kind, which gets the data after this byte."""
     self._handler_by_kind[kind] = handler
 
   @property
@@ -42,7 +43,7 @@
     return self._transport is not None
 
   async def open(self) -> None:
-    """Begins to listen."""
+    """Starts to listen."""
     loop = asyncio.get_running_loop()
     self._transport, _ = await loop.create_datagram_endpoint(
       lambda: _Receiver(on_datagram=self._receive),
@@ -50,13 +51,13 @@
     )
 
   def close(self) -> None:
-    """Stops listening; nothing is sent any more."""
+    """Stops listening; later sends are ignored."""
     if self._transport is not None:
       self._transport.close()
       self._transport = None
 
   def send(self, address: str, kind: bytes, data: bytes) -> None:
-    """Sends one datagram to IP:PORT, where the socket is open."""
+    """Sends one datagram to IP:PORT, or nothing if the socket is closed."""
     if self._transport is not None:
       self._transport.sendto(kind + data, endpoints.split(address))
 
@@ -67,11 +68,11 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-  """Hands each datagram on."""
+  """Passes each received datagram to a callback."""
 
   def __init__(self, *, on_datagram: Callable[[bytes], None]) -> None:
     self._on_datagram = on_datagram
 
   def datagram_received(self, data: bytes, addr: object) -> None:
-    """Hands one datagram on."""
+    """Passes one datagram to the callback."""
     self._on_datagram(data)
--- a/src/woadrun/process/fleet.py
+++ b/src/woadrun/process/fleet.py
@@ -1,9 +1,9 @@
-"""The daemons of all failure domains: who they are and who is heard.
+"""Membership and failure detection for the daemons of all failure domains.
 
-Daemons send each other short datagrams.  In small fleets each sends to all
-others, and silence of one that was heard before makes it suspect.  In large
-fleets members send to the hubs of their domain, and digests tell of the
-others.
+Daemons send heartbeats to each other as short datagrams.  In a small fleet each
+daemon sends to all others, and suspects a member whose heartbeats stop.  In a
+large fleet members send heartbeats to the hubs of their domain only, and learn
+the state of other members from the digests of the hubs.
 """
 
 from __future__ import annotations
@@ -29,32 +29,37 @@
 log = logging.getLogger('woadrun.fleet')
 
 TABLE = 'members'
-# Between two datagrams to one peer, in seconds.
-BEAT_SECONDS = 0.25
-SUSPECT_SECONDS = hubs.SUSPECT_SECONDS
-# Beats between two looks at all members for which of them fell silent: what
-# goes by it, removed rows and log lines, is a matter of seconds.
-BEATS_PER_LOOK = 2
-# What datagrams tell is brought together no more often, in seconds: it is
-# asked for several times in each request.
-VIEW_SECONDS = 0.05
-# A member that is new in the list is heard so soon, in seconds: it learns of
-# this daemon by the same feed.
-FIRST_BEAT_SECONDS = 2.0
-# A daemon of a large fleet that hears nothing of its own domain for so long
-# is cut off, in seconds: other hubs are found in less after both are lost.
-ALONE_SECONDS = 2.0
-# A peer that could not be reached is left aside for so long, in seconds.
-FAILED_SECONDS = 0.5
-# Up to so many daemons, each beats to all others; beyond, to hubs.
-FULL_MESH = 24
+# Interval between two heartbeats to one peer, in seconds.
+HEARTBEAT_INTERVAL_SECONDS = 0.25
+SUSPECT_TIMEOUT_SECONDS = hubs.SUSPECT_TIMEOUT_SECONDS
+# Number of heartbeats between two checks of all members for silence.  The
+# results are used to remove rows and to write log lines, which may take
+# seconds.
+HEARTBEATS_PER_SILENCE_CHECK = 2
+# Time for which the merged view of heartbeats and digests is cached, in
+# seconds.  Each request needs the view several times.
+VIEW_TTL_SECONDS = 0.05
+# Timeout for the first heartbeat of a member that is new in the list, in
+# seconds.  The member learns of this daemon by the same feed.
+FIRST_HEARTBEAT_TIMEOUT_SECONDS = 2.0
+# Time after which a daemon of a large fleet that hears nothing of its own
+# domain considers itself cut off, in seconds.  It takes less time to find new
+# hubs after both hubs are lost.
+OWN_DOMAIN_TIMEOUT_SECONDS = 2.0
+# Time for which a peer counts as failed after a message to it failed, in
+# seconds.
+FAILURE_TTL_SECONDS = 0.5
+# Largest fleet in which each daemon sends heartbeats to all others; in larger
+# fleets, heartbeats go through hubs.
+FULL_MESH_MAX_MEMBERS = 24
 
 
 class Fleet(mode.Service):
-  """All members, this daemon included.
+  """All members of the fleet, including this daemon.
 
-  `make_beat` returns what this daemon says of itself, `on_beat` gets what
-  others say of themselves, `on_digest` what hubs say of their domains.
+  `make_beat` returns the next heartbeat of this daemon.  `on_beat` is called
+  with each heartbeat received, `on_digest` with each new digest, including the
+  digests that this daemon makes as a hub.
   """
 
   def __init__(
@@ -72,109 +77,119 @@
     self._on_digest = on_digest
     self._members = members.Members(me=me)
     self.member_by_name = self._members.by_name
-    self.heard_by_name: dict[str, beats.Heard] = {}
+    self.heard_by_name: dict[str, beats.LastHeartbeat] = {}
     self.is_leaving = False
     self._hubs = hubs.Hubs(me=me)
     self._failed_until: dict[str, float] = {}
-    self._known_since: dict[str, float] = {}
-    self._newest_since = -math.inf
+    self._added_at: dict[str, float] = {}
+    self._last_added_at = -math.inf
     self._silent_since: dict[str, float] = {}
     self._view = views.View(at=-math.inf)
-    self._told_at = -math.inf
+    self._last_digest_at = -math.inf
     self._heard_at_by_domain: dict[str, float] = {}
-    self._returns = returns.Returns()
+    self._returning_domains = returns.ReturningDomains()
     self._started_at = time.monotonic()
     self.datagrams = datagrams.Datagrams(address=me.address)
     self.datagrams.handle(datagrams.BEAT, self._receive)
 
-  # --- Who there is ---------------------------------------------------------
+  # --- Members --------------------------------------------------------------
 
   @property
   def is_mesh(self) -> bool:
-    """Whether each daemon sends to all others.
+    """Whether each daemon sends heartbeats to all others.
 
-    One that starts in a large fleet while the store is out knows few members:
-    digests tell it that there are more.
+    A daemon that starts in a large fleet while the store is unavailable knows
+    few members.  The arrival of digests shows it that the fleet is large.
     """
-    if len(self.member_by_name) > FULL_MESH:
+    if len(self.member_by_name) > FULL_MESH_MAX_MEMBERS:
       return False
-    return time.monotonic() - self._told_at >= hubs.DIGEST_SECONDS
+    return time.monotonic() - self._last_digest_at >= hubs.DIGEST_TTL_SECONDS
 
   def is_alive(self, name: str) -> bool:
-    """Returns whether a member is believed to answer."""
+    """Returns whether a member is presumed alive."""
     if name == self.me.name:
       return True
     now = time.monotonic()
     if self._failed_until.get(name, 0.0) > now:
       return False
-    return self._is_believed(name, now)
+    return self._is_presumed_alive(name, now)
 
-  def _is_believed(self, name: str, now: float) -> bool:
+  def _is_presumed_alive(self, name: str, now: float) -> bool:
     heard = self.heard_by_name.get(name)
-    if heard is not None and now - heard.at < SUSPECT_SECONDS:
+    if heard is not None and now - heard.at < SUSPECT_TIMEOUT_SECONDS:
       return True
-    is_new = now - self._known_since.get(name, now) < FIRST_BEAT_SECONDS
+    is_new = (
+      now - self._added_at.get(name, now) < FIRST_HEARTBEAT_TIMEOUT_SECONDS
+    )
     if self.is_mesh:
       return heard is None and is_new
     member = self.member_by_name.get(name)
     if member is None:
       return False
-    return is_new or self._is_told_alive(member, now)
+    return is_new or self._is_reported_alive(member, now)
 
-  def _is_told_alive(self, member: beats.Member, now: float) -> bool:
+  def _is_reported_alive(self, member: beats.Member, now: float) -> bool:
     view = self._get_view()
     if member.name in view.silent or self.is_silent(member.domain):
       return False
-    # While its hubs are lost, a daemon goes on believing in its domain.
+    # While the hubs of its own domain are lost, a daemon presumes the members
+    # of that domain alive, until it considers itself cut off.
     heard_at = self._heard_at_by_domain.get(self.me.domain, -math.inf)
-    return member.domain != self.me.domain or now - heard_at < ALONE_SECONDS
+    return (
+      member.domain != self.me.domain
+      or now - heard_at < OWN_DOMAIN_TIMEOUT_SECONDS
+    )
 
   def is_silent(self, domain: str) -> bool:
-    """Returns whether nothing is heard of another domain."""
+    """Returns whether nothing is heard of another domain.
+
+    The result is False for the own domain.
+    """
     if domain == self.me.domain:
       return False
     view = self._get_view()
-    known = view.silence_by_domain.get(domain)
+    known = view.is_silent_by_domain.get(domain)
     if known is None:
-      known = view.silence_by_domain[domain] = self._is_unheard(domain)
+      known = view.is_silent_by_domain[domain] = self._compute_is_silent(domain)
     return known
 
-  def _is_unheard(self, domain: str) -> bool:
+  def _compute_is_silent(self, domain: str) -> bool:
     now = time.monotonic()
     heard_at = self._heard_at_by_domain.get(domain, -math.inf)
-    if now - heard_at < self._get_silence_limit():
+    if now - heard_at < self._get_silence_timeout():
       return False
     known = [
-      now - self._known_since.get(name, now)
+      now - self._added_at.get(name, now)
       for name in self._members.get_all_of(domain)
     ]
-    return bool(known) and max(known) >= FIRST_BEAT_SECONDS
+    return bool(known) and max(known) >= FIRST_HEARTBEAT_TIMEOUT_SECONDS
 
-  def _get_silence_limit(self) -> float:
-    return SUSPECT_SECONDS if self.is_mesh else hubs.DIGEST_SECONDS
+  def _get_silence_timeout(self) -> float:
+    return SUSPECT_TIMEOUT_SECONDS if self.is_mesh else hubs.DIGEST_TTL_SECONDS
 
   def _get_view(self) -> views.View:
     now = time.monotonic()
-    if now - self._view.at >= VIEW_SECONDS:
-      self._view = views.bring_together(
+    if now - self._view.at >= VIEW_TTL_SECONDS:
+      self._view = views.merge(
         domain=self.me.domain,
         at=now,
         heard=self.heard_by_name.values(),
         digests=() if self.is_mesh else self._hubs.find_fresh(),
-        limit=SUSPECT_SECONDS,
+        max_age=SUSPECT_TIMEOUT_SECONDS,
       )
     return self._view
 
   @property
   def domains(self) -> set[str]:
-    """All failure domains with a member."""
+    """The failure domains that have at least one member."""
     return self._members.domains
 
   @property
   def is_isolated(self) -> bool:
-    """Whether no other member is heard, though its own domain has others.
+    """Whether no other member is alive, though the own domain has others.
 
-    Who hears other domains is not cut off: the members of its own are dead.
+    A daemon that hears other domains is not cut off: in that case the other
+    members of its own domain are dead.
     """
     others = [n for n in self.member_by_name if n != self.me.name]
     domains = [self.member_by_name[name].domain for name in others]
@@ -182,80 +197,83 @@
     return self.me.domain in domains and is_alone
 
   def find_silent(self) -> list[str]:
-    """Returns the other domains of which nothing is heard."""
+    """Returns the other domains of which nothing is heard, sorted."""
     others = sorted(self.domains - {self.me.domain})
     return [domain for domain in others if self.is_silent(domain)]
 
   def find_unsettled(self) -> set[str]:
-    """Returns the other domains that may spend without the store.
+    """Returns the other domains with spending that the store may not have.
 
-    Those are the silent ones, those that were until a moment ago, those that
-    do not hear this domain, and those that have not yet told the store what
-    they spent.
+    These are the domains that are silent, that were silent until recently, that
+    do not hear this domain, or that have not yet written all their spending to
+    the store.
     """
     view = self._get_view()
-    told = view.owing | view.deaf
-    if time.monotonic() - self._started_at < FIRST_BEAT_SECONDS:
-      # It cannot tell yet itself who is silent: a daemon that was started
-      # again in a cut took the whole budget for its own.
-      told |= view.called_silent
-    returned = self._returns.find_open(self._get_told_at)
-    return (set(self.find_silent()) | told | returned) - {self.me.domain}
-
-  def _get_told_at(self, domain: str, since: float) -> float:
-    """Returns up to when all living members of a domain have spoken.
-
-    One that has said nothing for a while since the domain is back is not
-    alive: what it decided its standby has, and tells.
+    reported = view.owing | view.deaf
+    if time.monotonic() - self._started_at < FIRST_HEARTBEAT_TIMEOUT_SECONDS:
+      # A daemon that has just started cannot detect silent domains itself yet.
+      # Without the reports of its peers, a daemon that restarted during a
+      # network partition would spend the whole budget itself.
+      reported |= view.reported_silent
+    returning = self._returning_domains.find_pending(self._get_reported_at)
+    return (set(self.find_silent()) | reported | returning) - {self.me.domain}
+
+  def _get_reported_at(self, domain: str, since: float) -> float:
+    """Returns a time since which each live member of a domain has reported.
+
+    A member that has sent nothing for the suspect timeout since the domain
+    returned, at `since`, is ignored as dead: its standby holds its decisions
+    and reports them.
     """
     if not self.is_mesh:
-      return self._hubs.get_told_at(domain)
+      return self._hubs.get_reported_at(domain)
     now = time.monotonic()
     heard_at = (
       self.heard_by_name[name].at if name in self.heard_by_name else -math.inf
       for name in self._members.get_all_of(domain)
     )
-    is_late = now - since >= SUSPECT_SECONDS
+    is_late = now - since >= SUSPECT_TIMEOUT_SECONDS
     awaited = (
-      at for at in heard_at if not is_late or now - at < SUSPECT_SECONDS
+      at for at in heard_at if not is_late or now - at < SUSPECT_TIMEOUT_SECONDS
     )
     return min(awaited, default=-math.inf)
 
   @property
   def is_settled(self) -> bool:
-    """Whether no member may have what the store lacks.
+    """Whether no member may hold data that the store lacks.
 
-    Each domain is in sight and says so.  A single silent member does not
-    matter: what it decided without the store its standby has, and tells.
-    Otherwise each new program asks the store and two others while members
-    are stopped and started in turn.
+    This requires that each domain is heard and reports that it holds none.  A
+    single silent member is ignored: its standby holds what this member decided
+    without the store, and reports it.  If single members counted, each new
+    program would ask the store and two other daemons during a rolling restart.
     """
     return (
       not self._get_view().behind
       and not self.find_unsettled()
-      and not self._has_unheard()
+      and not self._has_unreported_member()
     )
 
-  def _has_unheard(self) -> bool:
-    """Returns whether a member may still say for the first time what it keeps.
+  def _has_unreported_member(self) -> bool:
+    """Returns whether a recently added member has not reported its state yet.
 
-    A daemon that joined after an outage, and had heard nobody, took the store's
-    word for what its standby had let be spent.
+    Without this check, a daemon that joined after an outage, and had heard no
+    other member, relied on the store alone and missed spending that its standby
+    had granted.
     """
     now = time.monotonic()
-    if now - self._newest_since >= FIRST_BEAT_SECONDS:
+    if now - self._last_added_at >= FIRST_HEARTBEAT_TIMEOUT_SECONDS:
       return False
     return any(
-      now - since < FIRST_BEAT_SECONDS
+      now - since < FIRST_HEARTBEAT_TIMEOUT_SECONDS
       and name in self.member_by_name
-      and not self._is_told_of(name)
-      for name, since in self._known_since.items()
+      and not self._has_report_of(name)
+      for name, since in self._added_at.items()
     )
 
   def get_silence(self) -> float:
-    """Returns for how long a whole domain has been silent, in seconds.
+    """Returns how long ago a silent domain was last heard, in seconds.
 
-    It is 0 where none is, and the longest time where several are.
+    The result is 0 if no domain is silent, and the longest time if several are.
     """
     now = time.monotonic()
     heard_at = self._heard_at_by_domain
@@ -263,49 +281,49 @@
     return max(lasting, default=0.0)
 
   def get_silent_seconds(self) -> dict[str, float]:
-    """Returns for how long members have been silent, in seconds by name."""
+    """Returns for how long each silent member is silent, in seconds by name."""
     now = time.monotonic()
     return {name: now - since for name, since in self._silent_since.items()}
 
   def note_failure(self, name: str) -> None:
-    """Leaves a member aside for a while: a message to it failed."""
-    self._failed_until[name] = time.monotonic() + FAILED_SECONDS
+    """Treats a member as failed for a while, since a message to it failed."""
+    self._failed_until[name] = time.monotonic() + FAILURE_TTL_SECONDS
     self._forget_view()
 
   def rank(self, key: str, domain: str) -> list[beats.Member]:
-    """Returns a domain's live members in the order of their claim on a key."""
-    return self._members.rank(key, domain, self._find_fit(domain))
+    """Returns a domain's members alive and not leaving, ranked for a key."""
+    return self._members.rank(key, domain, self._find_eligible(domain))
 
-  def _find_fit(self, domain: str) -> list[beats.Member]:
-    """Returns a domain's members that are alive and stay."""
+  def _find_eligible(self, domain: str) -> list[beats.Member]:
+    """Returns a domain's members that are alive and not leaving."""
     view = self._get_view()
-    known = view.fit_by_domain.get(domain)
+    known = view.eligible_by_domain.get(domain)
     if known is None:
       known = [
         member
         for member in self._members.get_all_of(domain).values()
         if self.is_alive(member.name) and not self._is_leaving(member.name)
       ]
-      view.fit_by_domain[domain] = known
+      view.eligible_by_domain[domain] = known
     return known
 
   def find_staying(self) -> list[str]:
-    """Returns the names of all members that are alive and stay, sorted."""
+    """Returns the names of all members alive and not leaving, sorted."""
     return sorted(
       member.name
       for domain in self.domains
-      for member in self._find_fit(domain)
+      for member in self._find_eligible(domain)
     )
 
-  def is_first_of_all(self, key: str) -> bool:
-    """Returns whether this daemon has the first claim in all domains."""
+  def is_first_ranked(self, key: str) -> bool:
+    """Returns whether this daemon ranks first for a key in the whole fleet."""
     return bool(self.find_own([key]))
 
   def find_own(self, keys: Iterable[str]) -> list[str]:
-    """Returns the keys on which this daemon has the first claim of all.
+    """Returns the keys for which this daemon ranks first in the whole fleet.
 
-    A key goes to a domain first and to a member of it then, so that not each
-    key is hashed with each of hundreds of members.
+    A key is assigned to a domain first and then to a member of that domain, so
+    that not every key is hashed with each of hundreds of members.
     """
     alive_by_domain = {
       domain: [
@@ -315,40 +333,46 @@
     }
     domains = [domain for domain, names in alive_by_domain.items() if names]
     mine = self.me.domain
-    near = (key for key in keys if _find_first(key, domains) == mine)
+    keys_of_domain = (
+      key for key in keys if _find_first_ranked(key, domains) == mine
+    )
     names = alive_by_domain[mine]
-    return [key for key in near if _find_first(key, names) == self.me.name]
+    return [
+      key
+      for key in keys_of_domain
+      if _find_first_ranked(key, names) == self.me.name
+    ]
 
   @property
   def is_hub(self) -> bool:
-    """Whether this daemon makes the digests of its domain."""
+    """Whether this daemon is a hub and makes digests of its domain."""
     return self._hubs.is_hub
 
   def may_have_store(self, name: str) -> bool:
-    """Returns whether a peer is not known to be turned away by the store."""
+    """Returns False if a peer is known to have no access to the store."""
     return name not in self._get_view().storeless
 
   def has_one_with_store(self) -> bool:
-    """Returns whether a live peer reaches the store."""
-    return any(self._is_with_store(name) for name in self.member_by_name)
+    """Returns whether any live peer has access to the store."""
+    return any(self._has_store_access(name) for name in self.member_by_name)
 
-  def _is_with_store(self, name: str) -> bool:
+  def _has_store_access(self, name: str) -> bool:
     return (
-      self._is_told_of(name)
+      self._has_report_of(name)
       and self.may_have_store(name)
       and self.is_alive(name)
     )
 
   def find_with_store(self) -> list[beats.Member]:
-    """Returns live peers that reach the store, those of our domain first.
+    """Returns live peers with access to the store, the own domain's first.
 
-    Each daemon has them in an order of its own, so that many that are turned
-    away at once do not all ask the same peers.
+    The order differs between daemons, so that daemons that lose access at the
+    same time do not all ask the same peers.
     """
     found = [
       member
       for name, member in self.member_by_name.items()
-      if self._is_with_store(name)
+      if self._has_store_access(name)
     ]
     return sorted(
       found,
@@ -358,7 +382,7 @@
       ),
     )
 
-  def _is_told_of(self, name: str) -> bool:
+  def _has_report_of(self, name: str) -> bool:
     if name == self.me.name:
       return False
     if name in self.heard_by_name:
@@ -372,94 +396,99 @@
     return name in self._get_view().leaving
 
   def add(self, member: beats.Member) -> None:
-    """Takes a member in, or its new address."""
+    """Adds a member, or updates its address or domain."""
     if self._members.add(member):
-      log.info('Member %s at %s.', member.name, member.address)
+      log.info('Added member %s at %s.', member.name, member.address)
       self.heard_by_name.pop(member.name, None)
-      self._known_since[member.name] = time.monotonic()
-      self._newest_since = self._known_since[member.name]
+      self._added_at[member.name] = time.monotonic()
+      self._last_added_at = self._added_at[member.name]
       self._forget_view()
 
   def forget(self, name: str) -> None:
-    """Drops a member that is not registered any more."""
+    """Removes a member that is no longer registered."""
     if name == self.me.name:
       return
     self._members.forget(name)
     self.heard_by_name.pop(name, None)
     self._forget_view()
-    log.info('Member %s is gone.', name)
+    log.info('Removed member %s.', name)
 
   # --- Datagrams ------------------------------------------------------------
 
   async def on_start(self) -> None:
-    """Listens for datagrams."""
+    """Starts to listen for datagrams."""
     await self.datagrams.open()
 
   async def on_stop(self) -> None:
-    """Stops listening."""
+    """Stops listening for datagrams."""
     self.datagrams.close()
 
   @mode.Service.task
-  async def _send_beats(self) -> None:
+  async def _send_heartbeats(self) -> None:
     for number in itertools.count():
       if self.should_stop:
         return
       self.send_beats()
-      if number % BEATS_PER_LOOK == 0:
-        self._note_silence()
-      await ticks.sleep(BEAT_SECONDS)
+      if number % HEARTBEATS_PER_SILENCE_CHECK == 0:
+        self._update_silence()
+      await ticks.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
   def send_beats(self) -> None:
-    """Sends one datagram to each peer that this daemon beats to."""
-    for beat, targets in self.plan_beats():
-      data = msgspec.json.encode(beat)
+    """Sends the heartbeats that are due to their receivers."""
+    for heartbeat, targets in self.plan_heartbeats():
+      data = msgspec.json.encode(heartbeat)
       for member in targets:
         self.datagrams.send(member.address, datagrams.BEAT, data)
 
-  def plan_beats(self) -> list[tuple[beats.Beat, list[beats.Member]]]:
-    """Returns the datagrams that are due, each with those who get it."""
+  def plan_heartbeats(self) -> list[tuple[beats.Beat, list[beats.Member]]]:
+    """Returns the heartbeats that are due, each with its receivers.
+
+    A hub calls `on_digest` with the digest that it makes.
+    """
     mine = self._make_beat()
     if self.is_mesh:
       return [(mine, [m for m in self.member_by_name.values() if m != self.me])]
-    chosen = self._hubs.choose(
+    chosen = self._hubs.choose_hubs(
       self._members.get_all_of(self.me.domain).values(),
       self.heard_by_name,
       silent=self._get_view().silent,
     )
-    own = self._hubs.make(
-      mine, self._find_due(), self.heard_by_name, is_hub=self.me in chosen
+    own = self._hubs.make_digest(
+      mine, self._find_expected(), self.heard_by_name, is_hub=self.me in chosen
     )
     if own is not None:
       self._on_digest(own)
-    asked = msgspec.structs.replace(
-      mine, wants_digests=True, digests=_list(own)
+    to_hubs = msgspec.structs.replace(
+      mine, wants_digests=True, digests=_as_tuple(own)
     )
-    plan = [(asked, [member for member in chosen if member != self.me])]
-    listeners = self._find_listeners(chosen)
+    plan = [(to_hubs, [member for member in chosen if member != self.me])]
+    listeners = self._find_digest_receivers(chosen)
     if listeners:
-      plan.append((self._hubs.answer(mine), listeners))
+      plan.append((self._hubs.make_answer(mine), listeners))
     if own is not None:
-      told = msgspec.structs.replace(
+      to_remote = msgspec.structs.replace(
         mine, running={}, failing={}, digests=(own,)
       )
-      plan.append((told, self._find_far_hubs()))
+      plan.append((to_remote, self._find_remote_hubs()))
     return plan
 
-  def _find_due(self) -> list[beats.Member]:
-    """Returns those of its domain of whom something should have been heard."""
+  def _find_expected(self) -> list[beats.Member]:
+    """Returns the own domain's members whose first heartbeat is due."""
     now = time.monotonic()
     return [
       member
       for member in self._members.get_all_of(self.me.domain).values()
-      if now - self._known_since.get(member.name, -math.inf)
-      >= FIRST_BEAT_SECONDS
+      if now - self._added_at.get(member.name, -math.inf)
+      >= FIRST_HEARTBEAT_TIMEOUT_SECONDS
     ]
 
-  def _find_listeners(self, chosen: list[beats.Member]) -> list[beats.Member]:
-    asked = hubs.find_askers(self.heard_by_name, time.monotonic())
+  def _find_digest_receivers(
+    self, chosen: list[beats.Member]
+  ) -> list[beats.Member]:
+    requesters = hubs.find_requesters(self.heard_by_name, time.monotonic())
     found = [
       self.member_by_name[name]
-      for name in asked
+      for name in requesters
       if self.member_by_name[name] not in chosen
     ]
     if self.me not in chosen:
@@ -469,11 +498,11 @@
       for name in self._silent_since
       if name in self.member_by_name
       and self.member_by_name[name].domain == self.me.domain
-      and name not in asked
+      and name not in requesters
     ]
     return [*found, *self._hubs.choose_silent(silent)]
 
-  def _find_far_hubs(self) -> list[beats.Member]:
+  def _find_remote_hubs(self) -> list[beats.Member]:
     found = []
     for domain in sorted(self.domains - {self.me.domain}):
       is_silent = self.is_silent(domain)
@@ -482,62 +511,72 @@
         for member in self._members.get_all_of(domain).values()
         if is_silent or self.is_alive(member.name)
       ]
-      found.extend(self._hubs.choose_far(members, is_silent=is_silent))
+      found.extend(self._hubs.choose_remote(members, is_silent=is_silent))
     return found
 
   def _receive(self, data: bytes) -> None:
     try:
-      beat = msgspec.json.decode(data, type=beats.Beat)
+      heartbeat = msgspec.json.decode(data, type=beats.Beat)
     except msgspec.MsgspecError as error:
-      log.warning('Ignored a datagram: %s', error)
+      log.warning('Ignored a malformed heartbeat: %s', error)
       return
-    if beat.name == self.me.name:
+    if heartbeat.name == self.me.name:
       return
     self.add(
-      beats.Member(name=beat.name, address=beat.address, domain=beat.domain)
+      beats.Member(
+        name=heartbeat.name, address=heartbeat.address, domain=heartbeat.domain
+      )
     )
-    known = self.heard_by_name.get(beat.name)
-    self.heard_by_name[beat.name] = beats.Heard(beat=beat, at=time.monotonic())
-    self._note_domain(beat.domain, time.monotonic())
-    is_news = views.is_news(known.beat if known else None, beat) or any(
-      views.is_digest_news(self._hubs.get(digest.hub), digest)
-      for digest in beat.digests
+    known = self.heard_by_name.get(heartbeat.name)
+    self.heard_by_name[heartbeat.name] = beats.LastHeartbeat(
+      beat=heartbeat, at=time.monotonic()
     )
-    newer = self._hubs.take(beat.digests)
+    self._record_domain_heard(heartbeat.domain, time.monotonic())
+    changes_view = views.heartbeat_changes_view(
+      known.beat if known else None, heartbeat
+    ) or any(
+      views.digest_changes_view(self._hubs.get_digest(digest.hub), digest)
+      for digest in heartbeat.digests
+    )
+    newer = self._hubs.add_newer(heartbeat.digests)
     for digest in newer:
-      self._told_at = time.monotonic()
-      self._note_domain(digest.domain, self._told_at - digest.age)
-    if is_news:
+      self._last_digest_at = time.monotonic()
+      self._record_domain_heard(
+        digest.domain, self._last_digest_at - digest.age
+      )
+    if changes_view:
       self._forget_view()
-    self._on_beat(beat)
+    self._on_beat(heartbeat)
     for digest in newer:
       self._on_digest(digest)
 
-  def _note_domain(self, domain: str, at: float) -> None:
+  def _record_domain_heard(self, domain: str, at: float) -> None:
     known = self._heard_at_by_domain.get(domain, at)
-    if domain != self.me.domain and at - known >= self._get_silence_limit():
-      self._returns.note(domain, now=time.monotonic())
+    if domain != self.me.domain and at - known >= self._get_silence_timeout():
+      self._returning_domains.record(domain, now=time.monotonic())
     self._heard_at_by_domain[domain] = max(known, at)
 
   def _forget_view(self) -> None:
     self._view.at = -math.inf
 
-  def _note_silence(self) -> None:
+  def _update_silence(self) -> None:
     now = time.monotonic()
     for name in [n for n in self._silent_since if n not in self.member_by_name]:
       del self._silent_since[name]
     for name in self.member_by_name:
-      is_silent = name != self.me.name and not self._is_believed(name, now)
+      is_silent = name != self.me.name and not self._is_presumed_alive(
+        name, now
+      )
       if is_silent and name not in self._silent_since:
         self._silent_since[name] = now
-        log.warning('Member %s is silent.', name)
+        log.warning('Member %s is silent: no recent heartbeat.', name)
       elif not is_silent and self._silent_since.pop(name, None) is not None:
-        log.info('Member %s is heard again.', name)
+        log.info('Member %s is no longer silent.', name)
 
 
-def _find_first(key: str, names: list[str]) -> str:
+def _find_first_ranked(key: str, names: list[str]) -> str:
   return max(names, key=lambda name: hubs.weigh(name, key))
 
 
-def _list(digest: beats.Digest | None) -> tuple[beats.Digest, ...]:
+def _as_tuple(digest: beats.Digest | None) -> tuple[beats.Digest, ...]:
   return () if digest is None else (digest,)
--- a/src/woadrun/process/members.py
+++ b/src/woadrun/process/members.py
@@ -1,4 +1,4 @@
-"""The members that are known, by name and by failure domain."""
+"""The known members of the fleet, by name and by failure domain."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Members:
-  """All members; `me`, the daemon itself, is there from the start."""
+  """All known members, which always include `me`, this daemon itself."""
 
   def __init__(self, *, me: beats.Member) -> None:
     self.by_name: dict[str, beats.Member] = {me.name: me}
@@ -18,7 +18,7 @@
 
   @property
   def domains(self) -> set[str]:
-    """All failure domains with a member."""
+    """The failure domains that have at least one member."""
     return {domain for domain, found in self._by_domain.items() if found}
 
   def get_all_of(self, domain: str) -> Mapping[str, beats.Member]:
@@ -26,7 +26,10 @@
     return self._by_domain.get(domain, {})
 
   def add(self, member: beats.Member) -> bool:
-    """Returns whether a member is new, or has moved."""
+    """Adds or updates a member.
+
+    Returns whether the member is new, or its address or domain has changed.
+    """
     known = self.by_name.get(member.name)
     if known == member:
       return False
@@ -37,20 +40,21 @@
     return True
 
   def forget(self, name: str) -> None:
-    """Drops a member."""
+    """Removes a member, if it is known."""
     member = self.by_name.pop(name, None)
     if member is not None:
       del self._by_domain[member.domain][name]
 
   def rank(
-    self, key: str, domain: str, fit: list[beats.Member]
+    self, key: str, domain: str, eligible: list[beats.Member]
   ) -> list[beats.Member]:
-    """Returns the fit members of a domain in the order of their claim on a key.
+    """Returns the eligible members of a domain, ranked for a key.
 
-    The order is by rendezvous hashing: a member that comes or goes moves
-    only the keys that it had or gets.  It is remembered while they stay.
+    Members are ranked by rendezvous hashing: adding or removing a member moves
+    only the keys that this member gains or loses.  The ranking is cached until
+    the list of eligible members changes.
     """
     known = self._ranks_by_domain.get(domain)
-    if known is None or known.members != fit:
-      known = self._ranks_by_domain[domain] = ranks.Ranks(members=fit)
+    if known is None or known.members != eligible:
+      known = self._ranks_by_domain[domain] = ranks.Ranks(members=eligible)
     return known.get(key)
--- a/src/woadrun/process/peer_messages.py
+++ b/src/woadrun/process/peer_messages.py
@@ -1,4 +1,4 @@
-"""Answers to messages of other daemons, whichever way they come."""
+"""Handlers for messages of other daemons, independent of the transport."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-  """What goes back; `body` is an error's where `status` is not 200."""
+  """A reply to a message; `body` is an error unless `status` is 200."""
 
   status: int
   body: bytes
@@ -30,7 +30,11 @@
 def make_handler(
   type: Any, answer: Callable[[Any], Awaitable[Any]], *, codec: ModuleType
 ) -> Handler:
-  """Returns a handler that decodes a message, and encodes what is answered."""
+  """Returns a handler that decodes a message, and encodes its answer or error.
+
+  Any exception that is not a `WoadrunError` or a decoding error is reported to
+  the peer as an internal error with an unknown outcome.
+  """
 
   async def handle(body: bytes) -> Reply:
     try:
@@ -40,7 +44,7 @@
     except msgspec.MsgspecError as error:
       return _make_error(errors.Code.BAD_REQUEST, str(error))
     except Exception as error:
-      log.exception('A message of a peer failed.')
+      log.exception('Handler of a peer message failed.')
       return _make_error(errors.Code.INTERNAL, str(error), errors.Ran.UNKNOWN)
     return Reply(status=200, body=codec.encode(found))
 
@@ -50,5 +54,5 @@
 def _make_error(
   code: errors.Code, message: str, ran: errors.Ran = errors.Ran.NOT_RUN
 ) -> Reply:
-  wrong = errors.WoadrunError(code, message, ran=ran)
-  return Reply(status=wrong.status, body=wrong.get_body())
+  failure = errors.WoadrunError(code, message, ran=ran)
+  return Reply(status=failure.status, body=failure.get_body())
--- a/src/woadrun/process/ranks.py
+++ b/src/woadrun/process/ranks.py
@@ -1,19 +1,19 @@
-"""The order of a domain's members in their claims on keys."""
+"""The ranking of a domain's members for keys, by rendezvous hashing."""
 
 from __future__ import annotations
 
 from woadrun.process import beats
 from woadrun.process import hubs
 
-# Keys whose order is remembered: those of the programs that one daemon looks
-# after, or passes turns of, within some seconds.
-MOST_KEYS = 2_048
+# Maximum number of keys whose ranking is cached: enough for the programs that
+# one daemon owns, or forwards turns of, within some seconds.
+MAX_CACHED_KEYS = 2_048
 
 
 class Ranks:
-  """Orders by rendezvous hashing, remembered while the members stay.
+  """Rankings of a fixed list of members, cached by key.
 
-  Each turn asks for the order of its program in several domains, several times.
+  Each turn needs the ranking for its program in several domains, several times.
   """
 
   def __init__(self, *, members: list[beats.Member]) -> None:
@@ -21,10 +21,10 @@
     self._ranked_by_key: dict[str, list[beats.Member]] = {}
 
   def get(self, key: str) -> list[beats.Member]:
-    """Returns the members in the order of their claim on a key."""
+    """Returns the members, ranked for a key, the highest weight first."""
     known = self._ranked_by_key.get(key)
     if known is None:
-      if len(self._ranked_by_key) >= MOST_KEYS:
+      if len(self._ranked_by_key) >= MAX_CACHED_KEYS:
         self._ranked_by_key.clear()
       known = self._ranked_by_key[key] = sorted(
         self.members, key=lambda m: hubs.weigh(m.name, key), reverse=True
--- a/src/woadrun/process/registration.py
+++ b/src/woadrun/process/registration.py
@@ -1,4 +1,4 @@
-"""The registrations of daemons: rows of the store that tell who there is."""
+"""The registrations of daemons: rows of the store that list the members."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 log = logging.getLogger('woadrun.fleet')
 
-# A member silent for so long has its row removed, in seconds; it registers
-# again if it lives.
-GONE_SECONDS = 15.0
-LOOK_SECONDS = 1.0
+# Silence after which the row of a member is removed, in seconds.  A member that
+# is still alive registers again.
+ROW_REMOVAL_TIMEOUT_SECONDS = 15.0
+CHECK_INTERVAL_SECONDS = 1.0
 
 
 class MemberRow(msgspec.Struct, kw_only=True):
-  """A member as it is registered."""
+  """The registration of a member, as stored."""
 
   address: Annotated[
     str, msgspec.Meta(pattern=r'^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$')
@@ -37,7 +37,7 @@
 
 
 class Registration(mode.Service):
-  """This daemon's row, and those of the others."""
+  """Keeps this daemon registered, and follows the rows of all members."""
 
   def __init__(
     self,
@@ -52,16 +52,16 @@
     self._incarnation = incarnation
     self._store = store
     self._version_by_name: dict[str, int] = {}
-    self._is_misplaced = asyncio.Event()
+    self._is_row_outdated = asyncio.Event()
     self.feed = feed.Feed(
       store=store,
       table=fleet.TABLE,
-      on_list=self._take_list,
-      on_row=self._take_row,
+      on_list=self._apply_list,
+      on_row=self._apply_row,
     )
 
   async def on_start(self) -> None:
-    """Begins to follow the registrations."""
+    """Starts to follow the registrations."""
     await self.add_runtime_dependency(self.feed)
 
   # --- The own row ----------------------------------------------------------
@@ -87,43 +87,46 @@
     while not self.should_stop:
       is_known = self._me.name in self._version_by_name
       if not is_known and not self._members.is_leaving:
-        await self._try(self.register())
-      await self._remove_gone()
+        await self._try_change(self.register())
+      await self._remove_silent()
       with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(LOOK_SECONDS):
-          await self._is_misplaced.wait()
-      self._is_misplaced.clear()
+        async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
+          await self._is_row_outdated.wait()
+      self._is_row_outdated.clear()
 
-  async def _try(self, change: Coroutine[Any, Any, object]) -> None:
+  async def _try_change(self, change: Coroutine[Any, Any, object]) -> None:
     try:
       await change
     except errors.WoadrunError as error:
-      log.warning('A registration was not changed: %s', error.message)
+      log.warning('Could not change a registration: %s', error.message)
 
   # --- The others' rows -----------------------------------------------------
 
-  async def _remove_gone(self) -> None:
+  async def _remove_silent(self) -> None:
     for name, seconds in self._members.get_silent_seconds().items():
-      if seconds < GONE_SECONDS or name not in self._version_by_name:
+      if (
+        seconds < ROW_REMOVAL_TIMEOUT_SECONDS
+        or name not in self._version_by_name
+      ):
         continue
-      # One member is enough to do it.
-      if not self._members.is_first_of_all(fleet.TABLE):
+      # Only one member of the fleet removes the row.
+      if not self._members.is_first_ranked(fleet.TABLE):
         continue
-      log.info('Removing member %s: silent for %.1f s.', name, seconds)
+      log.info('Removing row of member %s: silent for %.1f s.', name, seconds)
       key = rows.Key(fleet.TABLE, '', name)
       version = self._version_by_name[name]
-      await self._try(
+      await self._try_change(
         self._store.change(removes=[key], conditions=[(key, version)])
       )
 
-  def _take_list(self, found: tuple[rows.Row, ...]) -> None:
+  def _apply_list(self, found: tuple[rows.Row, ...]) -> None:
     listed = {row.key.name for row in found}
     for name in [n for n in self._version_by_name if n not in listed]:
       self._forget(name)
     for row in found:
-      self._take_row(row)
+      self._apply_row(row)
 
-  def _take_row(self, row: rows.Row) -> None:
+  def _apply_row(self, row: rows.Row) -> None:
     name = row.key.name
     if row.is_removed:
       self._forget(name)
@@ -132,13 +135,13 @@
     try:
       found = msgspec.json.decode(row.value, type=MemberRow)
     except msgspec.MsgspecError as error:
-      log.error('The row of member %s is unreadable: %s', name, error)
+      log.error('Cannot decode the row of member %s: %s', name, error)
       return
     if name == self._me.name:
       if found.address != self._me.address:
-        # The row is from before a restart at another address.
+        # The row was written before this daemon restarted at a new address.
         self._forget(name)
-        self._is_misplaced.set()
+        self._is_row_outdated.set()
       return
     self._members.add(
       beats.Member(name=name, address=found.address, domain=found.domain)
--- a/src/woadrun/process/returns.py
+++ b/src/woadrun/process/returns.py
@@ -1,41 +1,46 @@
-"""Domains that were out of sight and are heard again.
-
-Either side of a cut spends a part of the budgets that both know.  A side may
-spend the rest again when nothing that the other one spent can be unknown to
-it: once each living member over there has said that it owes the store
-nothing, after it had time to hear this side again.  How long that takes goes
-by when members speak, not by how many there are.
+"""Failure domains that were silent and are heard again.
+
+During a network partition each side spends only a part of the budgets that
+both sides know.  After the partition, one side may spend the rest once it knows
+everything that the other side spent: each live member of the other side has
+had time to receive heartbeats from this side again, and has since reported that
+it owes the store nothing.  How long this takes depends on when the members send
+their reports, not on the number of members.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# What a member says counts from so long after its domain is heard again, in
-# seconds: two datagrams of this side, one to its hub and one to itself.  One
-# that has not heard this side yet may still spend without it.
-HEARING_SECONDS = 0.5
+# Delay after a domain is heard again before the reports of its members count,
+# in seconds.  It covers two datagrams from this side, one to the member's hub
+# and one from the hub to the member: a member that has not heard this side yet
+# may still spend without it.
+REPORT_DELAY_SECONDS = 0.5
 
 
-class Returns:
-  """The domains that came back and have not told all yet."""
+class ReturningDomains:
+  """Domains heard again whose members have not all reported yet."""
 
   def __init__(self) -> None:
     self._since_by_domain: dict[str, float] = {}
 
-  def note(self, domain: str, *, now: float) -> None:
-    """Takes note that a domain that was silent is heard."""
+  def record(self, domain: str, *, now: float) -> None:
+    """Records that a domain that was silent is heard again at `now`."""
     self._since_by_domain[domain] = now
 
-  def find_open(self, get_told_at: Callable[[str, float], float]) -> set[str]:
-    """Returns the domains some of whose members have still to speak.
+  def find_pending(
+    self, get_reported_at: Callable[[str, float], float]
+  ) -> set[str]:
+    """Returns the domains with members that have not reported since the return.
 
-    `get_told_at` tells by domain and the time of its return up to which time
-    all its living members have spoken, on the monotonic clock.
+    `get_reported_at` takes a domain and the time of its return.  It returns a
+    time since which each live member of the domain has reported.  All times are
+    on the monotonic clock.
     """
     self._since_by_domain = {
       domain: since
       for domain, since in self._since_by_domain.items()
-      if get_told_at(domain, since) < since + HEARING_SECONDS
+      if get_reported_at(domain, since) < since + REPORT_DELAY_SECONDS
     }
     return set(self._since_by_domain)
--- a/src/woadrun/process/ticks.py
+++ b/src/woadrun/process/ticks.py
@@ -1,7 +1,7 @@
-"""Sleeps that end together, so that a process wakes seldom.
+"""Sleeps aligned to common ticks, so that an idle process wakes up less often.
 
-A daemon has about ten periodic tasks, which would each wake an idle daemon by a
-timer of its own.
+A daemon has about ten periodic tasks, each of which would otherwise wake the
+idle daemon with a timer of its own.
 """
 
 from __future__ import annotations
@@ -10,16 +10,17 @@
 import random
 import time
 
-# Where the ticks of this process lie, in seconds: those of daemons that start
-# at the same moment should not fall together.
+# Offset of the ticks of this process, in seconds.  It is random so that daemons
+# started at the same moment do not tick at the same times.
 _PHASE = random.random()
 
 
 def get_rest(seconds: float, *, now: float) -> float:
   """Returns the seconds from `now` until a sleep of about `seconds` ends.
 
-  It ends at a multiple of `seconds` on the monotonic clock, which is at least
-  half of them away: a timer that fires early does not fire twice.
+  The sleep ends on a tick: a multiple of `seconds` on the monotonic clock, plus
+  the offset of this process.  That tick is at least half of `seconds` away, so
+  that a timer that fires early does not fire twice for one tick.
   """
   passed = (now - _PHASE) % seconds
   rest = seconds - passed
@@ -27,5 +28,5 @@
 
 
 async def sleep(seconds: float) -> None:
-  """Sleeps for about `seconds`, until the tick that is due then."""
+  """Sleeps until the tick that is about `seconds` away."""
   await asyncio.sleep(get_rest(seconds, now=time.monotonic()))
--- a/src/woadrun/process/views.py
+++ b/src/woadrun/process/views.py
@@ -1,4 +1,4 @@
-"""What datagrams tell of all members, brought together at one moment."""
+"""The state of all members, merged from heartbeats and digests."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 class View:
   """What a daemon knows of the others at `at`, on the monotonic clock.
 
-  `silent`, `leaving` and `storeless` name members.  `owing`, `behind` and
-  `deaf` name domains: with a member that owes the store something, that keeps
-  what it lacks, or that hears nothing of this daemon's domain.
-  `called_silent` names those of which a member of this daemon's domain hears
-  nothing.
-  `fit_by_domain` keeps which members of a domain may be asked, and
-  `silence_by_domain` which other domains are silent: several looks in each
-  request need them.
+  `silent`, `leaving` and `storeless` hold the names of members that are silent,
+  about to stop, or without access to the store.  `owing`, `behind` and `deaf`
+  hold the names of domains: those with a member that has not yet reported its
+  spending to the store, that holds other data which the store lacks, or that
+  hears nothing of this daemon's domain.  `reported_silent` holds the domains of
+  which a member of this daemon's domain hears nothing.  `eligible_by_domain`
+  caches the members of a domain that are alive and not leaving,
+  `is_silent_by_domain` whether another domain is silent: each request needs
+  both several times.
   """
 
   at: float
@@ -30,44 +31,51 @@
   owing: set[str] = dataclasses.field(default_factory=set)
   behind: set[str] = dataclasses.field(default_factory=set)
   deaf: set[str] = dataclasses.field(default_factory=set)
-  called_silent: set[str] = dataclasses.field(default_factory=set)
-  fit_by_domain: dict[str, list[beats.Member]] = dataclasses.field(
+  reported_silent: set[str] = dataclasses.field(default_factory=set)
+  eligible_by_domain: dict[str, list[beats.Member]] = dataclasses.field(
     default_factory=dict
   )
-  silence_by_domain: dict[str, bool] = dataclasses.field(default_factory=dict)
+  is_silent_by_domain: dict[str, bool] = dataclasses.field(default_factory=dict)
 
 
-def bring_together(
+def merge(
   *,
   domain: str,
   at: float,
-  heard: Iterable[beats.Heard],
+  heard: Iterable[beats.LastHeartbeat],
   digests: Iterable[beats.Digest],
-  limit: float,
+  max_age: float,
 ) -> View:
   """Returns the view of a daemon in `domain`.
 
-  `heard` has the last datagram of each peer; one that is older than `limit`,
-  in seconds, tells nothing.  Hubs of one domain may
-  differ: a member is silent, or without the store, only if all of them say so.
+  `heard` holds the last heartbeat of each peer.  Heartbeats older than
+  `max_age`, in seconds, are ignored.  The hubs of one domain may report
+  different states: a member counts as silent, or as without the store, only if
+  all hubs of its domain report it.
   """
   view = View(at=at)
   for item in heard:
-    if at - item.at < limit:
-      _add_beat(view, item.beat, domain)
-  told: dict[str, list[beats.Digest]] = {}
+    if at - item.at < max_age:
+      _add_heartbeat(view, item.beat, domain)
+  digests_by_domain: dict[str, list[beats.Digest]] = {}
   for digest in digests:
-    told.setdefault(digest.domain, []).append(digest)
+    digests_by_domain.setdefault(digest.domain, []).append(digest)
     _add_digest(view, digest, domain)
-  for each in told.values():
+  for each in digests_by_domain.values():
     view.silent |= set.intersection(*(set(d.silent) for d in each))
     view.storeless |= set.intersection(*(set(d.storeless) for d in each))
   return view
 
 
-# What a view holds of datagrams and of digests.
-_IN_BEAT = ('has_store', 'is_leaving', 'is_owing', 'is_behind', 'silent')
-_IN_DIGEST = (
+# The fields of heartbeats and digests from which a view is built.
+_HEARTBEAT_FIELDS = (
+  'has_store',
+  'is_leaving',
+  'is_owing',
+  'is_behind',
+  'silent',
+)
+_DIGEST_FIELDS = (
   'silent',
   'leaving',
   'storeless',
@@ -75,45 +83,53 @@
   'is_owing',
   'is_behind',
 )
-_get_of_beat = operator.attrgetter(*_IN_BEAT)
-_get_of_digest = operator.attrgetter(*_IN_DIGEST)
+_get_heartbeat_fields = operator.attrgetter(*_HEARTBEAT_FIELDS)
+_get_digest_fields = operator.attrgetter(*_DIGEST_FIELDS)
 
 
-def is_news(known: beats.Beat | None, beat: beats.Beat) -> bool:
-  """Returns whether a peer's next datagram changes what a view holds."""
-  return known is None or _get_of_beat(known) != _get_of_beat(beat)
+def heartbeat_changes_view(
+  known: beats.Beat | None, heartbeat: beats.Beat
+) -> bool:
+  """Returns whether a new heartbeat of a peer changes the view."""
+  return known is None or _get_heartbeat_fields(known) != _get_heartbeat_fields(
+    heartbeat
+  )
 
 
-def is_digest_news(known: beats.Digest | None, digest: beats.Digest) -> bool:
-  """Returns whether a hub's next digest changes what a view holds."""
-  return known is None or _get_of_digest(known) != _get_of_digest(digest)
+def digest_changes_view(
+  known: beats.Digest | None, digest: beats.Digest
+) -> bool:
+  """Returns whether a new digest of a hub changes the view."""
+  return known is None or _get_digest_fields(known) != _get_digest_fields(
+    digest
+  )
 
 
-def _add_beat(view: View, beat: beats.Beat, domain: str) -> None:
-  if beat.is_leaving:
-    view.leaving.add(beat.name)
-  if not beat.has_store:
-    view.storeless.add(beat.name)
-  _add_domain(view, beat, domain, unheard=beat.silent)
+def _add_heartbeat(view: View, heartbeat: beats.Beat, domain: str) -> None:
+  if heartbeat.is_leaving:
+    view.leaving.add(heartbeat.name)
+  if not heartbeat.has_store:
+    view.storeless.add(heartbeat.name)
+  _add_domain(view, heartbeat, domain, silent_domains=heartbeat.silent)
 
 
 def _add_digest(view: View, digest: beats.Digest, domain: str) -> None:
   view.leaving.update(digest.leaving)
-  _add_domain(view, digest, domain, unheard=digest.deaf_to)
+  _add_domain(view, digest, domain, silent_domains=digest.deaf_to)
 
 
 def _add_domain(
   view: View,
-  told: beats.Beat | beats.Digest,
+  report: beats.Beat | beats.Digest,
   domain: str,
   *,
-  unheard: tuple[str, ...],
+  silent_domains: tuple[str, ...],
 ) -> None:
-  if told.is_owing:
-    view.owing.add(told.domain)
-  if told.is_behind:
-    view.behind.add(told.domain)
-  if domain in unheard:
-    view.deaf.add(told.domain)
-  if told.domain == domain:
-    view.called_silent.update(unheard)
+  if report.is_owing:
+    view.owing.add(report.domain)
+  if report.is_behind:
+    view.behind.add(report.domain)
+  if domain in silent_domains:
+    view.deaf.add(report.domain)
+  if report.domain == domain:
+    view.reported_silent.update(silent_domains)
--- a/tests/test_datagram_calls.py
+++ b/tests/test_datagram_calls.py
@@ -1,4 +1,4 @@
-"""Messages between daemons as datagrams, on the loopback address."""
+"""Requests between daemons as datagrams, on the loopback address."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class Links(peers.Peers):
-  """Messages over HTTP, which are only noted."""
+  """A transport over HTTP that records messages without sending them."""
 
   def __init__(self):
     super().__init__(session=None, key='', codec=CODEC)
@@ -31,7 +31,7 @@
 
 
 class Peer:
-  """One end, which answers by `answer`."""
+  """One daemon, which answers requests with `answer`."""
 
   def __init__(self, answer=None):
     self.address = f'127.0.0.1:{_find_port()}'
@@ -83,7 +83,7 @@
   answerer.sent.close()
 
 
-async def test_a_short_message_is_answered_without_http():
+async def test_a_short_message_is_sent_without_http():
   async with pair() as (asker, answerer):
     assert (await asker.ask(answerer)).stored == ('a',)
     assert not asker.links.posted
@@ -91,7 +91,7 @@
     assert asker.calls.messages == 1
 
 
-async def test_a_lost_message_is_sent_again():
+async def test_a_lost_request_is_sent_again():
   async with pair() as (asker, answerer):
     receive, lost = answerer.calls._receive_call, []
     answerer.sent.handle(
@@ -102,9 +102,9 @@
     assert lost and not asker.links.posted
 
 
-async def test_a_slow_answer_is_waited_for_and_the_message_handled_once():
+async def test_a_slow_response_is_awaited_and_the_request_handled_once():
   async def answer(ask):
-    await asyncio.sleep(3 * datagram_calls.AGAIN_SECONDS)
+    await asyncio.sleep(3 * datagram_calls.RETRANSMIT_TIMEOUT_SECONDS)
     return turn_messages.StoredTurns(stored=ask.requests)
 
   async with pair(answer) as (asker, answerer):
@@ -113,18 +113,18 @@
     assert not asker.links.posted
 
 
-async def test_a_lost_answer_has_the_message_handled_again():
+async def test_a_lost_response_makes_the_request_be_handled_again():
   async with pair() as (asker, answerer):
-    receive, lost = asker.calls._receive_answer, []
+    receive, lost = asker.calls._receive_response, []
     asker.sent.handle(
-      datagrams.ANSWER,
+      datagrams.RESPONSE,
       lambda data: receive(data) if lost else lost.append(data),
     )
     assert (await asker.ask(answerer)).stored == ('a',)
     assert answerer.handled == 2
 
 
-async def test_a_peer_that_is_gone_is_asked_over_http():
+async def test_a_request_to_a_stopped_peer_is_sent_over_http():
   async with pair() as (asker, answerer):
     answerer.sent.close()
     assert (await asker.ask(answerer)).stored == ('over http',)
@@ -132,8 +132,8 @@
 
 
 @pytest.mark.parametrize('is_answer', [False, True])
-async def test_what_does_not_fit_a_datagram_goes_over_http(is_answer):
-  large = ('x' * datagrams.MOST_ANSWER_BYTES,)
+async def test_a_message_too_large_for_a_datagram_is_sent_over_http(is_answer):
+  large = ('x' * datagrams.MAX_CALL_BYTES,)
 
   async def answer(ask):
     return turn_messages.StoredTurns(stored=large)
@@ -158,7 +158,7 @@
     assert not asker.links.posted
 
 
-async def test_a_handler_that_fails_says_that_the_outcome_is_unknown(caplog):
+async def test_a_failing_handler_reports_an_unknown_outcome(caplog):
   async def answer(ask):
     raise KeyError('a fault of ours')
 
@@ -166,12 +166,12 @@
     with pytest.raises(errors.WoadrunError) as caught:
       await asker.ask(answerer)
     assert caught.value.ran is errors.Ran.UNKNOWN
-    assert 'A message of a peer failed' in caplog.text
+    assert 'Handler of a peer message failed' in caplog.text
 
 
-async def test_what_is_no_message_is_ignored():
+async def test_malformed_and_unexpected_datagrams_are_ignored():
   async with pair() as (asker, answerer):
     answerer.calls._receive_call(b'\xff')
-    asker.calls._receive_answer(b'\xff')
-    asker.calls._receive_answer(CODEC.encode([1, 200, b'']))
+    asker.calls._receive_response(b'\xff')
+    asker.calls._receive_response(CODEC.encode([1, 200, b'']))
     assert (await asker.ask(answerer)).stored == ('a',)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Logs are bounded and never block; figures are told as text."""
+"""Logs are rate-limited and never block; metrics are encoded as text."""
 
 import json
 import logging
@@ -43,16 +43,17 @@
   ]
 
 
-def test_too_many_lines_are_dropped_and_told(pipe, monkeypatch):
+def test_lines_over_the_rate_limit_are_dropped_and_reported(pipe, monkeypatch):
   handler = make_handler(pipe)
-  # The clock stands still: a pause of the machine would let more lines pass.
+  # The clock is frozen, since a pause of the machine would refill the rate
+  # limit and let more lines pass.
   now = time.monotonic()
   monkeypatch.setattr(event_log.time, 'monotonic', lambda: now)
-  handler._filled_at = now
-  handler._allowed = 1.0
+  handler._refilled_at = now
+  handler._tokens = 1.0
   for number in range(50):
     handler.emit(make_record(number))
-  handler._allowed = 10.0
+  handler._tokens = 10.0
   handler.emit(make_record('last'))
   text = os.read(pipe[0], 65_536).decode()
   assert handler.dropped_total == 49
@@ -60,14 +61,14 @@
   assert 'event last' in text
 
 
-def test_a_reader_that_stopped_holds_nothing_up(pipe):
+def test_a_stopped_reader_does_not_block_the_writer(pipe):
   handler = make_handler(pipe)
-  handler._allowed = 1e9
+  handler._tokens = 1e9
   for number in range(20_000):
-    handler._allowed = 1e9
+    handler._tokens = 1e9
     handler.emit(make_record(number, logging.WARNING))
   assert handler.dropped_total > 0
-  assert len(handler._rest) < 2 * event_log.BUFFER_BYTES
+  assert len(handler._unwritten) < 2 * event_log.MAX_BUFFER_BYTES
 
 
 def test_answers_are_counted_by_kind_and_outcome():
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a daemon, and sleeps that end together."""
+"""The event loop of a daemon, and sleeps aligned to common ticks."""
 
 import asyncio
 import math
@@ -11,21 +11,25 @@
 from woadrun.process import ticks
 
 
-def test_looks_that_would_not_wait_are_mostly_left_out():
+def test_most_polls_that_would_not_block_are_skipped():
   selector = event_loop.SparseSelector()
   near, far = socket.socketpair()
   with near, far:
     selector.register(near, 1)
     far.send(b'x')
-    found = [selector.select(0) for _ in range(event_loop.MOST_SKIPPED + 1)]
-    assert [len(keys) for keys in found] == [0] * event_loop.MOST_SKIPPED + [1]
-    # One that may wait is never left out.
+    found = [
+      selector.select(0) for _ in range(event_loop.MAX_SKIPPED_POLLS + 1)
+    ]
+    assert [len(keys) for keys in found] == [
+      0
+    ] * event_loop.MAX_SKIPPED_POLLS + [1]
+    # A poll that may block is never skipped.
     assert len(selector.select(None)) == 1
     assert len(selector.select(1.0)) == 1
   selector.close()
 
 
-def test_input_comes_through_while_callbacks_never_end():
+def test_input_is_read_while_callbacks_are_always_ready():
   async def run():
     loop = asyncio.get_running_loop()
     near, far = socket.socketpair()
@@ -50,7 +54,7 @@
 @hypothesis.given(
   now=st.floats(0, 1e6), seconds=st.sampled_from([0.25, 0.5, 1.0])
 )
-def test_a_sleep_ends_on_a_tick_and_lasts_about_as_long_as_asked(now, seconds):
+def test_a_sleep_ends_on_a_tick_near_the_requested_time(now, seconds):
   rest = ticks.get_rest(seconds, now=now)
   assert seconds / 2 <= rest <= seconds * 1.5
   ticks_passed = (now + rest - ticks._PHASE) / seconds
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Who is alive, who looks after what, and whom a daemon beats to."""
+"""Failure detection, ranking of members, and settled domains of a fleet."""
 
 import time
 
@@ -19,7 +19,9 @@
   def make_beat():
     return beats.Beat(name=me, address=member.address, domain=domain)
 
-  made = fleet.Fleet(me=member, make_beat=make_beat, on_beat=lambda beat: None)
+  made = fleet.Fleet(
+    me=member, make_beat=make_beat, on_beat=lambda heartbeat: None
+  )
   for name in others:
     made.add(
       beats.Member(
@@ -29,125 +31,125 @@
   return made
 
 
-def hear(made, name, *, ago=0.0, **options):
-  beat = beats.Beat(
+def receive(made, name, *, ago=0.0, **options):
+  heartbeat = beats.Beat(
     name=name,
     address='127.0.0.1:2',
     domain=name.partition('-')[0],
     **options,
   )
-  made._receive(msgspec.json.encode(beat))
+  made._receive(msgspec.json.encode(heartbeat))
   made.heard_by_name[name].at -= ago
 
 
-def test_a_member_that_goes_moves_only_what_it_had():
+def test_a_silent_member_moves_only_the_keys_that_it_ranked_first_for():
   made = make_fleet('n-1', 'n-2', 'n-3')
   before = {key: made.rank(key, 'n')[0].name for key in map(str, range(200))}
-  hear(made, 'n-2', ago=5.0)
+  receive(made, 'n-2', ago=5.0)
   after = {key: made.rank(key, 'n')[0].name for key in before}
   moved = {key for key in before if before[key] != after[key]}
   assert moved == {key for key in before if before[key] == 'n-2'}
   assert len(set(after.values())) == 3
 
 
-def test_silence_failure_and_leaving_take_a_member_out_for_a_while():
+def test_silent_failed_and_leaving_members_are_not_ranked_until_they_recover():
   made = make_fleet('n-1', 'n-2', 'n-3')
   for name in ('n-1', 'n-2', 'n-3'):
-    hear(made, name)
+    receive(made, name)
   made.note_failure('n-1')
-  hear(made, 'n-2', ago=fleet.SUSPECT_SECONDS)
-  hear(made, 'n-3', is_leaving=True)
+  receive(made, 'n-2', ago=fleet.SUSPECT_TIMEOUT_SECONDS)
+  receive(made, 'n-3', is_leaving=True)
   assert [m.name for m in made.rank('x', 'n')] == ['n-me']
   made._failed_until['n-1'] = time.monotonic()
-  hear(made, 'n-2')
-  hear(made, 'n-3')
+  receive(made, 'n-2')
+  receive(made, 'n-3')
   assert len(made.rank('x', 'n')) == 4
 
 
-def test_a_member_that_is_listed_but_never_heard_is_silent_after_a_while():
+def test_a_domain_never_heard_is_silent_after_the_first_heartbeat_timeout():
   made = make_fleet('s-1', 's-2')
   assert not made.is_silent('s')
   for name in ('s-1', 's-2'):
-    made._known_since[name] -= fleet.FIRST_BEAT_SECONDS
+    made._added_at[name] -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
   made._forget_view()
   assert made.is_silent('s')
-  hear(made, 's-1')
+  receive(made, 's-1')
   assert not made.is_silent('s')
 
 
-def test_peers_with_the_store_are_found_those_of_the_own_domain_first():
+def test_peers_with_store_access_are_sorted_by_own_domain_first():
   made = make_fleet('n-1', 's-1', 's-2')
-  hear(made, 's-1', has_store=True)
-  hear(made, 'n-1', has_store=True)
-  hear(made, 's-2', has_store=False)
+  receive(made, 's-1', has_store=True)
+  receive(made, 'n-1', has_store=True)
+  receive(made, 's-2', has_store=False)
   assert [m.name for m in made.find_with_store()] == ['n-1', 's-1']
 
 
-def test_what_is_no_datagram_of_ours_is_ignored():
+def test_a_malformed_datagram_is_ignored():
   made = make_fleet('n-1')
   made._receive(b'\xff not ours')
   assert made.heard_by_name == {}
 
 
-def test_a_peer_that_says_the_same_again_costs_no_new_view():
+def test_an_unchanged_heartbeat_keeps_the_cached_view():
   made = make_fleet('n-1', 's-1')
-  hear(made, 'n-1', has_store=True)
+  receive(made, 'n-1', has_store=True)
   view = made._get_view()
-  hear(made, 'n-1', has_store=True)
+  receive(made, 'n-1', has_store=True)
   assert made._get_view() is view
-  # What changes counts at once.
-  hear(made, 'n-1')
+  # Changes take effect at once.
+  receive(made, 'n-1')
   assert not made.may_have_store('n-1')
-  hear(made, 'n-1', is_leaving=True)
+  receive(made, 'n-1', is_leaving=True)
   assert [m.name for m in made.rank('x', 'n')] == ['n-me']
-  hear(made, 's-1', is_owing=True)
+  receive(made, 's-1', is_owing=True)
   assert made.find_unsettled() == {'s'}
 
 
-def test_a_domain_that_is_heard_again_counts_at_once():
+def test_a_domain_is_not_silent_as_soon_as_it_is_heard_again():
   made = make_fleet('s-1')
-  hear(made, 's-1', ago=5.0)
+  receive(made, 's-1', ago=5.0)
   made._heard_at_by_domain['s'] -= 5.0
-  made._known_since['s-1'] -= fleet.FIRST_BEAT_SECONDS
+  made._added_at['s-1'] -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
   made._forget_view()
   assert made.find_silent() == ['s']
   made.heard_by_name.pop('s-1')
-  hear(made, 's-1')
+  receive(made, 's-1')
   assert made.find_silent() == []
 
 
-def test_keys_are_divided_among_the_living():
+def test_keys_are_divided_among_live_members():
   made = make_fleet('n-1', 's-1')
-  hear(made, 'n-1')
-  hear(made, 's-1', ago=5.0)
-  made._known_since['s-1'] -= fleet.FIRST_BEAT_SECONDS
+  receive(made, 'n-1')
+  receive(made, 's-1', ago=5.0)
+  made._added_at['s-1'] -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
   keys = [str(number) for number in range(64)]
   own = made.find_own(keys)
-  assert own == [key for key in keys if made.is_first_of_all(key)]
+  assert own == [key for key in keys if made.is_first_ranked(key)]
   assert 16 <= len(own) <= 48
 
 
-def test_a_domain_that_returns_is_unsettled_until_its_members_have_spoken():
+def test_a_returning_domain_is_unsettled_until_its_members_report():
   made = make_fleet('s-1', 's-2')
   for name in ('s-1', 's-2'):
-    hear(made, name, ago=5.0)
-    made._known_since[name] -= fleet.FIRST_BEAT_SECONDS
+    receive(made, name, ago=5.0)
+    made._added_at[name] -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
   made._heard_at_by_domain['s'] -= 5.0
   made._forget_view()
   assert made.find_unsettled() == {'s'}
-  # The cut has healed: one member speaks, the other one owes the store.
-  hear(made, 's-1')
+  # After the partition one member reports; the other one may owe the store.
+  receive(made, 's-1')
   made._forget_view()
   assert made.find_unsettled() == {'s'}
 
 
-def test_keys_are_divided_by_few_hashes():
+def test_dividing_keys_needs_few_hashes():
   names = [f'{domain}-{n}' for domain in 'abcde' for n in range(39)]
   made = make_fleet(*names, me='a-me')
   keys = [f'{number:02x}' for number in range(256)]
   hubs.weigh.cache_clear()
   own = made.find_own(keys)
-  # Five domains for each key, and 40 members for a fifth of the keys.
+  # Each key is hashed with five domains, a fifth of the keys with 40 members.
   assert hubs.weigh.cache_info().misses < 256 * 5 + 2 * 256 / 5 * 40
   owners = {
     key: [
@@ -163,68 +165,70 @@
 
 
 def return_from_silence(made, *names):
-  """Has domains go silent, and hears the first of some members again."""
+  """Makes the members' domain silent, and hears the first of them again."""
   for name in names:
-    hear(made, name, ago=5.0)
-    made._known_since[name] -= fleet.FIRST_BEAT_SECONDS
+    receive(made, name, ago=5.0)
+    made._added_at[name] -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
     made._heard_at_by_domain[name.partition('-')[0]] -= 5.0
   made._forget_view()
   assert made.find_unsettled() == {'s'}
-  hear(made, names[0])
+  receive(made, names[0])
 
 
-def test_a_domain_that_returns_is_settled_once_all_its_members_have_spoken(
+def test_a_returning_domain_is_settled_once_all_its_members_report(
   monkeypatch,
 ):
   made = make_fleet('s-1', 's-2')
   return_from_silence(made, 's-1', 's-2')
   now = time.monotonic()
   monkeypatch.setattr('time.monotonic', lambda: now)
-  # Said before it can have heard this side: it may spend for a moment more.
-  hear(made, 's-2')
+  # This report is too early: the member may not have heard this side yet, and
+  # may still spend without it.
+  receive(made, 's-2')
   assert made.find_unsettled() == {'s'}
-  now += returns.HEARING_SECONDS
-  hear(made, 's-1')
+  now += returns.REPORT_DELAY_SECONDS
+  receive(made, 's-1')
   assert made.find_unsettled() == {'s'}
-  hear(made, 's-2', is_owing=True)
+  receive(made, 's-2', is_owing=True)
   assert made.find_unsettled() == {'s'}
-  hear(made, 's-2')
+  receive(made, 's-2')
   assert not made.find_unsettled()
 
 
-def test_a_dead_member_holds_a_domain_up_no_longer_than_silence_takes(
+def test_a_dead_member_delays_settling_only_for_the_suspect_timeout(
   monkeypatch,
 ):
   made = make_fleet('s-1', 's-2')
   return_from_silence(made, 's-1', 's-2')
-  now = time.monotonic() + fleet.SUSPECT_SECONDS - 0.1
+  now = time.monotonic() + fleet.SUSPECT_TIMEOUT_SECONDS - 0.1
   monkeypatch.setattr('time.monotonic', lambda: now)
-  hear(made, 's-1')
+  receive(made, 's-1')
   assert made.find_unsettled() == {'s'}
   now += 0.2
-  hear(made, 's-1')
+  receive(made, 's-1')
   assert not made.find_unsettled()
 
 
-def test_a_daemon_that_starts_in_a_cut_takes_its_peers_word_for_it():
+def test_a_daemon_started_in_a_partition_uses_its_peers_reports():
   made = make_fleet('n-1', 's-1')
-  hear(made, 'n-1', silent=('s',))
+  receive(made, 'n-1', silent=('s',))
   assert made.find_silent() == []
   assert made.find_unsettled() == {'s'}
-  # Later it hears for itself whether that still holds.
-  made._started_at -= fleet.FIRST_BEAT_SECONDS
+  # Later it detects for itself whether the domain is silent.
+  made._started_at -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
   assert not made.find_unsettled()
 
 
-async def test_a_daemon_that_is_back_at_another_address_registers_there(
+async def test_a_daemon_restarted_at_another_address_registers_again(
   monkeypatch,
 ):
-  """After a loss of all daemons each knew the old addresses only.
+  """Guards against a daemon that stays registered at an outdated address.
 
-  A row under its name was there, so that nobody wrote a new one until it was
-  removed as that of a silent member, which is left out here.
+  After a loss of all daemons each knew only the old addresses.  A row with the
+  daemon's name existed, so that the daemon did not write a new one until the
+  row was removed as that of a silent member.  This test disables that removal.
   """
-  monkeypatch.setattr(registration, 'GONE_SECONDS', 1e9)
+  monkeypatch.setattr(registration, 'ROW_REMOVAL_TIMEOUT_SECONDS', 1e9)
   async with nodes.Nodes() as served:
     await served.start('n1', 's1')
     for name in ('n1', 's1'):
--- a/tests/test_frozen_processes.py
+++ b/tests/test_frozen_processes.py
@@ -1,12 +1,13 @@
 """A daemon that a test freezes stays frozen until the test wakes it.
 
-Tests that freeze a daemon failed now and then beside load: "nobody took over",
-or an action that should have been refused ran.  The daemon was awake.  When the
-shell that had started the tests ended, their process group had no parent in
-another one left, and the kernel sends SIGHUP and SIGCONT to all members of a
-group that is so orphaned while one of them is stopped.  Dumps of three failures
-show the "frozen" daemon sleeping and answering, with no member silent; all were
-frozen within two seconds before such a shell ended.
+Tests that freeze a daemon with SIGSTOP failed occasionally under load, since
+the daemon was running: no other daemon took over, or an action that should have
+been refused was executed.  When the shell that started the tests ends, their
+process group is orphaned: no parent of a member is left in another group of the
+session.  If a member of such a group is stopped, the kernel sends SIGHUP and
+SIGCONT to all members.  Dumps of three failures show the "frozen" daemon
+sleeping and answering, with no member silent; all were frozen within two
+seconds before such a shell ended.
 """
 
 import subprocess
@@ -15,8 +16,8 @@
 
 import pytest
 
-# Begins a process in the way that is named, freezes it, and tells its state
-# once the shell that started this program has ended.
+# Starts a daemon with the named starter, freezes it, and writes its state to a
+# file once the shell that started this program has ended.
 FREEZER = textwrap.dedent("""
   import asyncio, os, pathlib, signal, sys, time
 
@@ -60,15 +61,15 @@
 
   asyncio.run(main())
 """)
-# Ends as soon as the process is frozen, with the program still running.  Like
-# `nohup`, it lets them outlive the hangup.
+# Ends as soon as the daemon is frozen, while FREEZER is still running.  Like
+# `nohup`, it ignores SIGHUP so that both processes survive the hangup.
 SHELL = """
 trap '' HUP
 export SHELL_PID=$$
 "$@" > out 2>&1 &
 while [ ! -e frozen ]; do sleep 0.02; done
 """
-SECONDS = 30
+TIMEOUT_SECONDS = 30
 
 
 @pytest.mark.parametrize('starter', ['tests', 'soak'])
@@ -80,13 +81,13 @@
     ['sh', '-c', SHELL, 'sh', *command],
     cwd=tmp_path,
     process_group=0,
-    timeout=SECONDS,
+    timeout=TIMEOUT_SECONDS,
     check=True,
   )
   subprocess.run(
     ['sh', '-c', 'while [ ! -e state ]; do sleep 0.02; done'],
     cwd=tmp_path,
-    timeout=SECONDS,
+    timeout=TIMEOUT_SECONDS,
     check=True,
   )
   assert (tmp_path / 'state').read_text() == 'T'
--- a/tests/test_hubs.py
+++ b/tests/test_hubs.py
@@ -1,4 +1,4 @@
-"""Large fleets: what hubs tell, with datagrams that pass within one process."""
+"""Large fleets with hubs, with a simulated network and clock."""
 
 import random
 
@@ -14,7 +14,11 @@
 
 
 class Network:
-  """Fleets whose datagrams arrive at once, except where they are lost."""
+  """Fleets whose datagrams arrive at once unless they are lost.
+
+  Datagrams are lost at random at the rate `loss`, to members in `dead`, and
+  between `cut_domain` and the other domains.
+  """
 
   def __init__(self, monkeypatch, *, size=SIZE, domains=DOMAINS):
     self.now = 1000.0
@@ -50,41 +54,41 @@
     made = fleet.Fleet(
       me=me,
       make_beat=make_beat,
-      on_beat=lambda beat: self.take_elsewhere(name, beat),
-      on_digest=lambda digest: self.take_digest(name, digest),
+      on_beat=lambda heartbeat: self.record_elsewhere(name, heartbeat),
+      on_digest=lambda digest: self.record_digest(name, digest),
     )
     for other in known:
       made.add(_make_member(other))
     return made
 
-  def take_digest(self, name, digest):
+  def record_digest(self, name, digest):
     if digest.running is not None:
       known = self.running_by_name.setdefault(name, {})
       known[digest.domain] = digest.running
 
-  def take_elsewhere(self, name, beat):
-    if beat.elsewhere is not None:
+  def record_elsewhere(self, name, heartbeat):
+    if heartbeat.elsewhere is not None:
       known = self.running_by_name.setdefault(name, {})
-      known['elsewhere'] = beat.elsewhere
+      known['elsewhere'] = heartbeat.elsewhere
 
   def run(self, seconds):
-    for _ in range(round(seconds / fleet.BEAT_SECONDS)):
-      self.now += fleet.BEAT_SECONDS
+    for _ in range(round(seconds / fleet.HEARTBEAT_INTERVAL_SECONDS)):
+      self.now += fleet.HEARTBEAT_INTERVAL_SECONDS
       for name in sorted(self.by_name, key=lambda _: self._random.random()):
         if name not in self.dead:
           self._send(name)
 
   def _send(self, name):
     sent = 0
-    for beat, targets in self.by_name[name].plan_beats():
-      data = msgspec.json.encode(beat)
+    for heartbeat, targets in self.by_name[name].plan_heartbeats():
+      data = msgspec.json.encode(heartbeat)
       for target in targets:
         sent += 1
-        self._pass(name, target.name, data)
+        self._deliver(name, target.name, data)
     self.sent_by_name[name] = sent
-    self.by_name[name]._note_silence()
+    self.by_name[name]._update_silence()
 
-  def _pass(self, source, target, data):
+  def _deliver(self, source, target, data):
     is_across = source.partition('-')[0] != target.partition('-')[0]
     ends = {source.partition('-')[0], target.partition('-')[0]}
     is_cut = is_across and self.cut_domain in ends
@@ -95,8 +99,8 @@
     self.bytes_by_name[target] = size + len(data)
     self.by_name[target]._receive(data)
 
-  def find_believers(self, name):
-    """Returns the living that take a member for alive."""
+  def find_observers_of(self, name):
+    """Returns the live members that presume a member alive."""
     return {
       other
       for other, found in self.by_name.items()
@@ -128,22 +132,24 @@
   return made
 
 
-def test_all_are_believed_alive_and_few_datagrams_are_sent(network):
+def test_all_members_are_alive_and_few_datagrams_are_sent(network):
   for name in network.by_name:
-    assert len(network.find_believers(name)) == len(network.by_name) - 1
+    assert len(network.find_observers_of(name)) == len(network.by_name) - 1
   for domain in DOMAINS:
-    assert len(network.find_hubs(domain)) == hubs.HUBS
+    assert len(network.find_hubs(domain)) == hubs.HUBS_PER_DOMAIN
   members = [
     name
     for name in network.by_name
     if name not in network.find_hubs(name.partition('-')[0])
   ]
-  assert {network.sent_by_name[name] for name in members} == {hubs.HUBS}
-  most = SIZE - 1 + (len(DOMAINS) - 1) * hubs.HUBS
+  assert {network.sent_by_name[name] for name in members} == {
+    hubs.HUBS_PER_DOMAIN
+  }
+  most = SIZE - 1 + (len(DOMAINS) - 1) * hubs.HUBS_PER_DOMAIN
   assert max(network.sent_by_name.values()) <= most
 
 
-def test_what_a_member_receives_hardly_grows_with_its_domain(monkeypatch):
+def test_received_bytes_of_a_member_hardly_grow_with_the_domain(monkeypatch):
   def measure(size):
     made = Network(monkeypatch, size=size, domains=('n', 's'))
     made.run(4)
@@ -159,39 +165,41 @@
   assert measure(60) < 1.2 * measure(15)
 
 
-def test_a_member_that_dies_is_silent_everywhere_in_time(network):
+def test_a_dead_member_is_detected_by_all_others(network):
   victim = next(n for n in network.by_name if n not in network.find_hubs('n'))
   network.dead.add(victim)
   network.run(2)
-  assert network.find_believers(victim) == set()
+  assert network.find_observers_of(victim) == set()
   others = [name for name in network.get_living() if name != victim]
-  assert all(len(network.find_believers(n)) == len(others) - 1 for n in others)
+  assert all(
+    len(network.find_observers_of(n)) == len(others) - 1 for n in others
+  )
 
 
-def test_lost_hubs_are_replaced_and_nobody_else_is_taken_for_dead(network):
+def test_lost_hubs_are_replaced_without_suspecting_other_members(network):
   lost = network.find_hubs('n')
   network.dead.update(lost)
   for _ in range(16):
     network.run(0.25)
     for name in network.get_living():
-      believers = network.find_believers(name)
+      observers = network.find_observers_of(name)
       peers = {n for n in network.get_living() if n[0] == name[0]}
-      assert peers - believers == {name}
-  assert len(network.find_hubs('n')) == hubs.HUBS
+      assert peers - observers == {name}
+  assert len(network.find_hubs('n')) == hubs.HUBS_PER_DOMAIN
   for name in lost:
-    assert network.find_believers(name) == set()
+    assert network.find_observers_of(name) == set()
   for name in network.get_living():
-    assert len(network.find_believers(name)) == len(network.get_living()) - 1
+    assert len(network.find_observers_of(name)) == len(network.get_living()) - 1
 
 
-def test_a_cut_is_seen_on_both_sides_and_so_is_its_end(network):
+def test_a_partition_and_its_end_are_detected_on_both_sides(network):
   network.cut_domain = 'w'
   network.run(2)
   for name, found in network.by_name.items():
     expected = ['n', 's'] if name.startswith('w') else ['w']
     assert found.find_silent() == expected
     assert not found.is_isolated and not found.is_settled
-    assert found.get_silence() >= hubs.DIGEST_SECONDS
+    assert found.get_silence() >= hubs.DIGEST_TTL_SECONDS
   network.flags_by_name['w-3'] = {'has_store': True, 'is_owing': True}
   network.run(2)
   network.cut_domain = None
@@ -208,7 +216,7 @@
 
 @pytest.mark.parametrize('loss', [0.0, 0.05])
 @pytest.mark.parametrize('seed', range(6))
-def test_a_cut_is_over_for_others_once_no_member_spends_alone(
+def test_a_domain_stays_unsettled_until_all_its_members_hear_the_others(
   monkeypatch, seed, loss
 ):
   network = Network(monkeypatch)
@@ -220,7 +228,7 @@
   network.loss = loss
   cut_off = [f for f in network.by_name.values() if f.me.domain == 'w']
   others = [f for f in network.by_name.values() if f.me.domain != 'w']
-  # What a member spends while it does not hear the others, it says a beat
+  # A member reports what it spent while it did not hear the others one heartbeat
   # later.
   while any(found.find_silent() for found in cut_off):
     assert all(found.find_unsettled() for found in others)
@@ -231,7 +239,7 @@
   assert not any(found.find_unsettled() for found in others)
 
 
-def test_what_one_member_says_is_known_to_all(network):
+def test_the_state_of_one_member_reaches_all_others(network):
   network.flags_by_name['s-4'] = {'is_leaving': True, 'is_behind': True}
   network.run(1.5)
   for name, found in network.by_name.items():
@@ -250,47 +258,54 @@
       network.flags_by_name[f'{domain}-{number}'] = {'running': {'e1': each}}
   network.run(2)
   for name in network.by_name:
-    told = network.running_by_name[name]
-    # A hub hears of each domain, a member of its own and of all others.
-    others = [d for d in DOMAINS if d != name[0] and d in told]
+    reported = network.running_by_name[name]
+    # A hub gets the counts of each domain, a member those of its own domain and
+    # the sum of all others.
+    others = [d for d in DOMAINS if d != name[0] and d in reported]
     assert set(others) in (set(), set(DOMAINS) - {name[0]})
-    far = [told[d] for d in others] if others else [told['elsewhere']]
-    total = sum(counts.get('e1', 0) for counts in (told[name[0]], *far))
+    far = [reported[d] for d in others] if others else [reported['elsewhere']]
+    total = sum(counts.get('e1', 0) for counts in (reported[name[0]], *far))
     assert total == 5 * SIZE
 
 
-def test_members_are_told_the_counts_once(network):
+def test_only_one_hub_sends_counts_to_members(network):
   for name in network.by_name:
     network.flags_by_name[name] = {'running': {f'e{n}': 1 for n in range(66)}}
   network.run(2)
-  told = [
-    beat
+  reported = [
+    heartbeat
     for hub in network.find_hubs('n')
-    for beat, targets in network.by_name[hub].plan_beats()
-    if any(member.domain == 'n' for member in targets) and beat.digests
+    for heartbeat, targets in network.by_name[hub].plan_heartbeats()
+    if any(member.domain == 'n' for member in targets) and heartbeat.digests
+  ]
+  answers = [
+    heartbeat
+    for heartbeat in reported
+    if len(heartbeat.digests) == len(DOMAINS)
+  ]
+  assert len(answers) == hubs.HUBS_PER_DOMAIN
+  with_counts = [
+    heartbeat for heartbeat in answers if heartbeat.elsewhere is not None
   ]
-  answers = [beat for beat in told if len(beat.digests) == len(DOMAINS)]
-  assert len(answers) == hubs.HUBS
-  with_counts = [beat for beat in answers if beat.elsewhere is not None]
   assert len(with_counts) == 1
   assert sum(d.running is not None for d in with_counts[0].digests) == 1
   assert all(
     d.running is None
-    for beat in answers
-    if beat is not with_counts[0]
-    for d in beat.digests
+    for heartbeat in answers
+    if heartbeat is not with_counts[0]
+    for d in heartbeat.digests
   )
 
 
-def test_a_daemon_cut_off_by_itself_is_isolated_and_misleads_nobody(network):
+def test_an_isolated_daemon_detects_it_and_does_not_mislead_others(network):
   lone = network.find_hubs('n')[0]
   network.dead.add(lone)
   network.run(1)
-  # Alone, it goes on by itself: nothing that it sends arrives.
+  # The lone daemon keeps running, but nothing that it sends arrives.
   found = network.by_name[lone]
   for _ in range(16):
-    network.now += fleet.BEAT_SECONDS / 1000
-    found.plan_beats()
+    network.now += fleet.HEARTBEAT_INTERVAL_SECONDS / 1000
+    found.plan_heartbeats()
     network.run(0.25)
   assert found.is_isolated
   network.dead.remove(lone)
@@ -299,28 +314,29 @@
     for name in network.get_living():
       if name != lone:
         assert (
-          len(network.find_believers(name) - {lone}) >= len(network.by_name) - 2
+          len(network.find_observers_of(name) - {lone})
+          >= len(network.by_name) - 2
         )
   assert not found.is_isolated
-  assert len(network.find_believers(lone)) == len(network.by_name) - 1
+  assert len(network.find_observers_of(lone)) == len(network.by_name) - 1
 
 
-def test_a_member_that_starts_again_knowing_nobody_hears_of_all(network):
+def test_a_member_restarted_without_the_store_learns_of_all_members(network):
   network.dead.add('s-2')
   network.run(4)
   network.by_name['s-2'] = network.make('s-2', [])
   network.dead.remove('s-2')
   network.run(3)
   assert not network.by_name['s-2'].is_isolated
-  assert len(network.find_believers('s-2')) == len(network.by_name) - 1
+  assert len(network.find_observers_of('s-2')) == len(network.by_name) - 1
 
 
-def test_lost_datagrams_take_nobody_out_for_long(network):
+def test_lost_datagrams_rarely_make_members_suspected(network):
   network.loss = 0.05
   wrong = 0
   for _ in range(80):
     network.run(0.25)
     for name in network.by_name:
-      wrong += len(network.by_name) - 1 - len(network.find_believers(name))
-  # Of 80 looks at 45 members by 44 others.
+      wrong += len(network.by_name) - 1 - len(network.find_observers_of(name))
+  # The limit is a share of 80 checks of 45 members by 44 others each.
   assert wrong < 80 * 45 * 44 * 0.005
