--- a/src/woadrun/process/beats.py
+++ b/src/woadrun/process/beats.py
@@ -49,7 +49,10 @@
 
 
 class Beat(msgspec.Struct, kw_only=True, omit_defaults=True):
-  """A heartbeat: the state of one daemon, as it reports itself.
+  """A heartbeat datagram: the state of one daemon, as it reports itself.
+
+  `woadrun.connection.messages.Heartbeat` is another kind of heartbeat, which
+  membership.py exchanges by request and response.
 
   `feeds` holds the number of the newest known change of each table.  `running`
   counts the requests that the daemon has in progress at each instance,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -106,7 +106,7 @@
   assert made.find_unsettled() == {'s'}
 
 
-def test_a_domain_is_not_silent_as_soon_as_it_is_heard_again():
+def test_a_silent_domain_recovers_with_its_first_heartbeat():
   made = make_fleet('s-1')
   receive(made, 's-1', ago=5.0)
   made._heard_at_by_domain['s'] -= 5.0
--- a/tests/test_hubs.py
+++ b/tests/test_hubs.py
@@ -228,8 +228,8 @@
   network.loss = loss
   cut_off = [f for f in network.by_name.values() if f.me.domain == 'w']
   others = [f for f in network.by_name.values() if f.me.domain != 'w']
-  # A member reports what it spent while it did not hear the others one heartbeat
-  # later.
+  # Spending of a member while it does not hear the others is reported with its
+  # next heartbeat.
   while any(found.find_silent() for found in cut_off):
     assert all(found.find_unsettled() for found in others)
     network.run(0.25)
