--- a/src/woadrun/process/health.py
+++ b/src/woadrun/process/health.py
@@ -1,7 +1,8 @@
-"""Which instances fail, learned from outcomes and from what peers tell.
+"""Tracks failing instances by request outcomes and the reports of peers.
 
-Health checks may be good at an instance that fails, and bad at one that is
-well, for all callers or for some.  What requests meet there tells.
+Health checks may pass at an instance that fails requests, and fail at a healthy
+one, for all callers or for some.  The outcomes of requests are the better
+evidence.
 """
 
 from __future__ import annotations
@@ -12,46 +13,48 @@
 
 log = logging.getLogger('woadrun.health')
 
-# A failure counts half as much after so long, in seconds: instances that go
-# up and down do so in one to two seconds, others fail for some seconds.
-HALF_LIFE_SECONDS = 3.0
-# An answer that says "not run" costs another attempt, no request; it also
-# comes from an instance that is only full.
+# Half-life of the weight of a failure: flapping instances go up and down within
+# one to two seconds, others fail for some seconds.
+FAILURE_HALF_LIFE_SECONDS = 3.0
+# Weight of a response "not run", which costs a further attempt but no request.
+# An instance that is merely full sends it as well.
 REJECTION_WEIGHT = 0.3
 FAILURE_WEIGHT = 1.0
-# A request that gets no answer costs its caller the most.
+# Weight of a request without a response, the failure that costs callers most.
 SILENCE_WEIGHT = 1.5
-# So much is not heeded: services fail one request in thirty by themselves, and
-# each such answer would drive requests away from an instance that is well.
-TOLERATED = 1.0
-# No more than so many failures count: an instance that is well again gets
-# requests after about ten seconds.
-MOST_FAILURES = 6.0
-# Failures that are not worth telling.
-LEAST_FAILURES = 0.2
-# A request without the head of an answer counts as failed after so many times
-# the longest that one took of late at its service, and not before so many
-# seconds.  By the mean, calls that were only large counted, and requests went
-# round among instances that were all well, over new connections.
-TIMES_LONGEST = 2.0
-LEAST_OVERDUE_SECONDS = 1.0
-# The longest time counts half as much after so long, in seconds.
-LONGEST_HALF_LIFE_SECONDS = 30.0
-# What peers told is forgotten after so long, in seconds.
-TOLD_SECONDS = 1.5
+# Failures that are subtracted before an instance counts as failing: services
+# fail one request in thirty on their own, and each such failure would divert
+# requests from a healthy instance.
+TOLERATED_FAILURES = 1.0
+# Upper limit of the failures of an instance, so that an instance that has
+# recovered receives requests again after about ten seconds.
+MAX_FAILURES = 6.0
+# Fewer failures than this are not reported to peers and count as none.
+MIN_REPORTED_FAILURES = 0.2
+# A request without a response head counts as failed after this multiple of the
+# longest recent time to the response head at its service, but not before
+# MIN_OVERDUE_SECONDS.  With the mean instead of the longest time, calls that
+# were merely large counted as failed, and requests moved around among healthy
+# instances, over new connections.
+OVERDUE_FACTOR = 2.0
+MIN_OVERDUE_SECONDS = 1.0
+# Half-life of the longest time to the response head.
+LATENCY_HALF_LIFE_SECONDS = 30.0
+# Age at which the report of a peer expires.
+PEER_REPORT_TTL_SECONDS = 1.5
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Record:
-  """Failures at one instance, as they counted at `at`."""
+class _FailureRecord:
+  """Weighted failures at one instance, decayed up to the time `at`."""
 
   failures: float = 0.0
   at: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Sent:
-  """A request whose answer has not begun."""
+class _PendingRequest:
+  """A request sent at the time `at` whose response has not begun."""
 
   id: str
   service: str
@@ -59,140 +62,161 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Longest:
-  """The longest time to the head of an answer, as it counted at `at`."""
+class _MaxLatency:
+  """The longest time to a response head, decayed up to the time `at`."""
 
   seconds: float
   at: float
 
 
 class Health:
-  """The failures at all instances; `avoided` has those looked at last."""
+  """The weighted failures at all instances.
+
+  `avoided` has the failing instances as of the last call of `log_changes`.
+  """
 
   def __init__(self) -> None:
-    self._record_by_id: dict[str, _Record] = {}
-    self._sent_by_request: dict[object, _Sent] = {}
-    self._longest_by_service: dict[str, _Longest] = {}
-    self._told_by_source: dict[str, tuple[float, dict[str, float]]] = {}
-    self._told: dict[str, float] = {}
+    self._record_by_id: dict[str, _FailureRecord] = {}
+    self._pending_by_request: dict[object, _PendingRequest] = {}
+    self._max_latency_by_service: dict[str, _MaxLatency] = {}
+    self._report_by_source: dict[str, tuple[float, dict[str, float]]] = {}
+    self._last_report: dict[str, float] = {}
     self.avoided: set[str] = set()
 
   # --- Outcomes -------------------------------------------------------------
 
   def note_sent(self, request: object, id: str, service: str) -> None:
-    """Takes note of a request to an instance of a service."""
+    """Records that a request was sent to an instance of a service."""
     now = time.monotonic()
-    self._sent_by_request[request] = _Sent(id=id, service=service, at=now)
+    self._pending_by_request[request] = _PendingRequest(
+      id=id, service=service, at=now
+    )
 
   def note_answer(self, request: object) -> None:
-    """Takes note that the answer of a request began."""
+    """Records that the response to a request has begun."""
     now = time.monotonic()
-    sent = self._sent_by_request.pop(request)
-    longest = max(now - sent.at, self._get_longest(sent.service, now))
-    self._longest_by_service[sent.service] = _Longest(seconds=longest, at=now)
+    pending = self._pending_by_request.pop(request)
+    max_latency = max(
+      now - pending.at, self._get_max_latency(pending.service, now)
+    )
+    self._max_latency_by_service[pending.service] = _MaxLatency(
+      seconds=max_latency, at=now
+    )
 
   def note_end(self, request: object) -> None:
-    """Takes note that a request ended, perhaps without an answer.
+    """Records that a request ended, with or without a response.
 
-    One that was overdue counts as failed even if its caller has given up.
+    An overdue request counts as failed even if its caller cancelled it.
     """
-    sent = self._sent_by_request.pop(request, None)
-    if sent is not None and self._is_overdue(sent, time.monotonic()):
-      self.note_failure(sent.id, SILENCE_WEIGHT)
-
-  def _is_overdue(self, sent: _Sent, now: float) -> bool:
-    longest = self._get_longest(sent.service, now)
-    patience = max(LEAST_OVERDUE_SECONDS, TIMES_LONGEST * longest)
-    return now - sent.at > patience
-
-  def _get_longest(self, service: str, now: float) -> float:
-    longest = self._longest_by_service.get(service)
-    if longest is None:
+    pending = self._pending_by_request.pop(request, None)
+    if pending is not None and self._is_overdue(pending, time.monotonic()):
+      self.note_failure(pending.id, SILENCE_WEIGHT)
+
+  def _is_overdue(self, pending: _PendingRequest, now: float) -> bool:
+    max_latency = self._get_max_latency(pending.service, now)
+    timeout = max(MIN_OVERDUE_SECONDS, OVERDUE_FACTOR * max_latency)
+    return now - pending.at > timeout
+
+  def _get_max_latency(self, service: str, now: float) -> float:
+    max_latency = self._max_latency_by_service.get(service)
+    if max_latency is None:
       return 0.0
-    age = now - longest.at
-    return float(longest.seconds * 0.5 ** (age / LONGEST_HALF_LIFE_SECONDS))
+    age = now - max_latency.at
+    return float(max_latency.seconds * 0.5 ** (age / LATENCY_HALF_LIFE_SECONDS))
 
   def note_failure(self, id: str, weight: float = FAILURE_WEIGHT) -> None:
     """Counts a failure at an instance."""
     now = time.monotonic()
-    record = self._record_by_id.setdefault(id, _Record(at=now))
-    record.failures = min(MOST_FAILURES, _fade(record, now) + weight)
+    record = self._record_by_id.setdefault(id, _FailureRecord(at=now))
+    record.failures = min(MAX_FAILURES, _decay(record, now) + weight)
     record.at = now
 
-  # --- What is told ---------------------------------------------------------
+  # --- Reports --------------------------------------------------------------
 
   def tell(self) -> dict[str, float]:
-    """Returns what this daemon saw, and remembers that it goes to peers."""
-    self._told = self.get_seen()
+    """Returns the failures that this daemon saw, to be sent to peers.
+
+    `take_sum` subtracts them from the sum of the domain.  Records of instances
+    without failures are dropped.
+    """
+    self._last_report = self.get_own()
     self._record_by_id = {
       id: record
       for id, record in self._record_by_id.items()
-      if id in self._told
+      if id in self._last_report
     }
-    return self._told
+    return self._last_report
 
-  def get_seen(self) -> dict[str, float]:
+  def get_own(self) -> dict[str, float]:
     """Returns the failures that this daemon saw itself, by instance."""
     now = time.monotonic()
-    seen = {id: self._count_seen(id, now) for id in self._find_seen()}
+    seen = {id: self._count_own(id, now) for id in self._find_own()}
     return {id: failures for id, failures in seen.items() if failures}
 
-  def _find_seen(self) -> set[str]:
+  def _find_own(self) -> set[str]:
     """Returns the instances at which this daemon may have seen failures."""
-    sent = (item.id for item in self._sent_by_request.values())
-    return {*self._record_by_id, *sent}
+    pending = (item.id for item in self._pending_by_request.values())
+    return {*self._record_by_id, *pending}
 
-  def _count_seen(self, id: str, now: float) -> float:
-    """Returns the failures that this daemon saw, 0 where they are too few."""
+  def _count_own(self, id: str, now: float) -> float:
+    """Returns the failures that this daemon saw at an instance.
+
+    Returns 0 if there are fewer than MIN_REPORTED_FAILURES.
+    """
     record = self._record_by_id.get(id)
-    failures = 0.0 if record is None else _fade(record, now)
-    for sent in self._sent_by_request.values():
-      if sent.id == id and self._is_overdue(sent, now):
+    failures = 0.0 if record is None else _decay(record, now)
+    for pending in self._pending_by_request.values():
+      if pending.id == id and self._is_overdue(pending, now):
         failures += SILENCE_WEIGHT
-    if failures < LEAST_FAILURES:
+    if failures < MIN_REPORTED_FAILURES:
       return 0.0
-    return round(min(failures, MOST_FAILURES), 1)
+    return round(min(failures, MAX_FAILURES), 1)
 
   def take(self, source: str, failing: dict[str, float]) -> None:
-    """Takes in what a peer saw."""
-    self._told_by_source[source] = (time.monotonic(), failing)
+    """Stores the failures that a peer saw."""
+    self._report_by_source[source] = (time.monotonic(), failing)
 
   def take_sum(self, failing: dict[str, float], *, age: float) -> None:
-    """Takes in what a domain saw `age` seconds ago, this daemon included."""
+    """Stores the failures that this daemon's domain saw `age` seconds ago.
+
+    The sum includes what this daemon reported last, which is subtracted.
+    """
     others = {
-      id: max(0.0, failures - self._told.get(id, 0.0))
+      id: max(0.0, failures - self._last_report.get(id, 0.0))
       for id, failures in failing.items()
     }
-    self._told_by_source['domain'] = (time.monotonic() - age, others)
+    self._report_by_source['domain'] = (time.monotonic() - age, others)
 
   def get(self, id: str) -> float:
-    """Returns the failures to heed at one instance."""
+    """Returns the failures at an instance beyond the tolerated ones."""
     now = time.monotonic()
-    told = (
+    reported = (
       failing.get(id, 0.0)
-      for at, failing in self._told_by_source.values()
-      if now - at < TOLD_SECONDS
+      for at, failing in self._report_by_source.values()
+      if now - at < PEER_REPORT_TTL_SECONDS
     )
-    total = self._count_seen(id, now) + sum(told)
-    return max(0.0, min(MOST_FAILURES, total) - TOLERATED)
+    total = self._count_own(id, now) + sum(reported)
+    return max(0.0, min(MAX_FAILURES, total) - TOLERATED_FAILURES)
 
   def get_all(self) -> dict[str, float]:
-    """Returns the failures to heed, of all instances that have any."""
-    told = (
-      id for _, failing in self._told_by_source.values() for id in failing
+    """Returns the failures beyond the tolerated ones, by failing instance."""
+    reported = (
+      id for _, failing in self._report_by_source.values() for id in failing
     )
-    heeded = {id: self.get(id) for id in {*self._find_seen(), *told}}
-    return {id: failures for id, failures in heeded.items() if failures}
+    effective = {id: self.get(id) for id in {*self._find_own(), *reported}}
+    return {id: failures for id, failures in effective.items() if failures}
 
   def log_changes(self) -> None:
-    """Logs which instances are avoided now, and which are not any more."""
-    heeded = self.get_all()
-    for id in sorted(heeded.keys() - self.avoided):
-      log.warning('Instance %s is avoided: %.1f failures.', id, heeded[id])
-    for id in sorted(self.avoided - heeded.keys()):
-      log.info('Instance %s is trusted again.', id)
-    self.avoided = set(heeded)
-
-
-def _fade(record: _Record, now: float) -> float:
-  return float(record.failures * 0.5 ** ((now - record.at) / HALF_LIFE_SECONDS))
+    """Logs which instances became avoided and which no longer are."""
+    effective = self.get_all()
+    for id in sorted(effective.keys() - self.avoided):
+      log.warning('Instance %s is avoided: %.1f failures.', id, effective[id])
+    for id in sorted(self.avoided - effective.keys()):
+      log.info('Instance %s is no longer avoided.', id)
+    self.avoided = set(effective)
+
+
+def _decay(record: _FailureRecord, now: float) -> float:
+  return float(
+    record.failures * 0.5 ** ((now - record.at) / FAILURE_HALF_LIFE_SECONDS)
+  )
--- a/src/woadrun/process/loads.py
+++ b/src/woadrun/process/loads.py
@@ -1,10 +1,10 @@
-"""How busy each instance is, by all daemons' counts, and how fast.
+"""Load and speed of each instance, and the choice of one for a request.
 
-What is learned of an instance goes by its life: one that starts again under
-its id has nothing of what it had before.
+State is keyed by the life of an instance: an instance that restarts under the
+same id inherits nothing from its earlier life.
 
-Each daemon counts its own requests and hears of the others' counts by
-their datagrams, so that no instance has to be asked.
+Each daemon counts its own requests and receives the counts of the others in
+their datagrams, so that no instance has to be polled.
 """
 
 from __future__ import annotations
@@ -26,60 +26,72 @@
 from woadrun.process import health
 from woadrun.version import instances
 
-# Weight of the newest request in the learned time of an instance: requests
-# differ by a factor of ten, so that few of them tell little.
-LEARN_WEIGHT = 0.05
-# What a request is taken to last before one was seen, in seconds.
-FIRST_SECONDS = 0.2
-# An instance that could not be reached is passed over for so long, in
-# seconds, while there are others.
-PASSED_OVER_SECONDS = 1.0
-# A peer's counts are forgotten after so long, in seconds.
-COUNTS_SECONDS = 1.5
-# Prompt tokens that an engine reads in a second: the order of size of those
-# served today.
-PREFILL_RATE = 40_000.0
-# What a turn that runs adds to another one at the same engine, in seconds: its
-# program's next prompts are read there as well, and its tokens slow each step.
-TURN_SECONDS = 0.01
-# The first part of a prompt is many programs'.  An engine that was sent it is
-# taken to hold it for so long, in seconds: those that are used stay.
-SHARED_SECONDS = 5.0
-# What a failure of late at an instance adds to the time expected there, in
-# seconds.  A call that may not be repeated and fails ends its program, whose
-# calls take some ten times as long together.
-FAILURE_SECONDS = 0.5
-# Daemons that choose at the same moment should not all choose the same
-# instance; in seconds, less than one turn adds.
+# Weight of the newest request in the moving average of an instance's request
+# time: requests differ by a factor of ten, so that a few samples say little.
+EWMA_WEIGHT = 0.05
+# Estimate of a request's duration before any was measured.
+INITIAL_ESTIMATE_SECONDS = 0.2
+# Time for which an unreachable instance is skipped while there are others.
+UNREACHABLE_BACKOFF_SECONDS = 1.0
+# Age at which a peer's counts expire.
+COUNTS_TTL_SECONDS = 1.5
+# Prompt tokens that an engine processes per second: the order of magnitude of
+# current engines.
+PREFILL_TOKENS_PER_SECOND = 40_000.0
+# Time that a running turn adds to another turn at the same engine: the next
+# prompts of its program are processed there as well, and its tokens slow down
+# each decoding step.
+TURN_COST_SECONDS = 0.01
+# Many programs share the first part of their prompts.  An engine is assumed to
+# keep that part in its cache for this long after it was sent there: engines
+# retain the prefixes that are in use.
+SHARED_PREFIX_TTL_SECONDS = 5.0
+# Time that each recent failure of an instance adds to the time expected there.
+# The failure of a call that must not be repeated ends its program, whose calls
+# together take some ten times as long.
+FAILURE_PENALTY_SECONDS = 0.5
+# Upper limit of the random time added to each estimate, so that daemons that
+# choose at the same moment do not all choose the same instance.  It equals the
+# time that two running turns add.
 JITTER_SECONDS = 0.02
-# What a request costs more where no connection rests, in seconds: the
-# handshake, and the slot that a new connection may hold meanwhile.  Above the
-# jitter, so that among instances that are as good a rested connection decides.
-CONNECT_SECONDS = 0.025
-# A connection counts as rested for so long after a request, in seconds; a
-# little later it is closed.
-RESTED_SECONDS = 3.5
+# Extra time of a request to an instance without an idle connection: the
+# handshake, and the slot that a new connection may occupy meanwhile.  It
+# exceeds the jitter, so that an idle connection decides between instances that
+# are otherwise equal.
+CONNECT_COST_SECONDS = 0.025
+# Time after a request for which its connection counts as idle and reusable; the
+# connection is closed a little later.
+IDLE_CONNECTION_TTL_SECONDS = 3.5
 
 
 @dataclasses.dataclass(kw_only=True)
 class Load:
   """What this daemon knows of one instance.
 
-  `rested_at` has, for each connection at rest, since when, the newest last.
+  `running` counts this daemon's requests, `seconds` is the moving average of
+  their durations.  `idle_since` holds the time from which each idle connection
+  has been idle, the newest last.
   """
 
   running: int = 0
-  seconds: float = FIRST_SECONDS
-  passed_over_until: float = 0.0
-  rested_at: list[float] = dataclasses.field(default_factory=list)
-
-  def has_rested(self, now: float) -> bool:
-    """Returns whether a connection rests there."""
-    return bool(self.rested_at) and now - self.rested_at[-1] < RESTED_SECONDS
+  seconds: float = INITIAL_ESTIMATE_SECONDS
+  unreachable_until: float = 0.0
+  idle_since: list[float] = dataclasses.field(default_factory=list)
+
+  def has_idle_connection(self, now: float) -> bool:
+    """Returns whether there is an idle connection to the instance."""
+    return (
+      bool(self.idle_since)
+      and now - self.idle_since[-1] < IDLE_CONNECTION_TTL_SECONDS
+    )
 
 
 class Loads:
-  """The load of all instances."""
+  """The load of all instances.
+
+  `domain` is this daemon's failure domain, `is_silent` tells whether a domain
+  is cut off.  `health` holds the failures of instances.
+  """
 
   def __init__(
     self,
@@ -92,232 +104,250 @@
     self._domain = domain
     self._is_silent = is_silent
     self._load_by_id: dict[str, Load] = {}
-    self._usual_by_service: dict[str, float] = {}
-    self._told: dict[str, int] = {}
+    self._mean_seconds_by_service: dict[str, float] = {}
+    self._last_sent: dict[str, int] = {}
     self._counts_by_peer: dict[str, tuple[float, dict[str, int]]] = {}
-    self._shared_at: dict[tuple[str, str], float] = {}
-    self._sharer_by_part: dict[str, str] = {}
-    # Instances with a connection that rested, the last one used last.
-    self._rested: dict[str, None] = {}
+    self._prefix_sent_at: dict[tuple[str, str], float] = {}
+    self._holder_by_prefix: dict[str, str] = {}
+    # Instances with an idle connection, the most recently used one last.
+    self._idle_lives: dict[str, None] = {}
 
   def get_running(self) -> dict[str, int]:
-    """Returns this daemon's own requests, by instance."""
+    """Returns the number of this daemon's requests by instance."""
     return {
       id: load.running for id, load in self._load_by_id.items() if load.running
     }
 
   def tell_running(self) -> dict[str, int]:
-    """Returns the same for a datagram, and remembers what was told."""
-    self._told = self.get_running()
-    return self._told
+    """Returns the numbers of `get_running` to send, and remembers them.
+
+    `take_digest` subtracts them from the sums of the own domain.
+    """
+    self._last_sent = self.get_running()
+    return self._last_sent
 
   def take_beat(self, beat: beats.Beat) -> None:
-    """Takes a peer's counts in."""
+    """Stores the counts in a peer's datagram."""
     self._counts_by_peer[beat.name] = (time.monotonic(), beat.running)
     if beat.domain == self._domain:
-      # An instance may fail for callers of one domain only.
+      # An instance may fail for the callers of a single domain only.
       self.health.take(beat.name, beat.failing)
 
   def take_digest(self, digest: beats.Digest) -> None:
-    """Takes the counts of a domain in, all its members together."""
+    """Stores the counts of a domain, summed over its members."""
     if digest.running is None:
       return
     counts = dict(digest.running)
     if digest.domain == self._domain:
-      # This daemon's own requests are among them, as it told them last.
-      for id, running in self._told.items():
+      # The sums include this daemon's own requests as it last sent them.
+      for id, running in self._last_sent.items():
         counts[id] = counts.get(id, 0) - running
       self.health.take_sum(digest.failing or {}, age=digest.age)
     at = time.monotonic() - digest.age
     self._counts_by_peer[f'domain {digest.domain}'] = (at, counts)
 
   def take_elsewhere(self, running: dict[str, int]) -> None:
-    """Takes the counts of all other domains in, as a hub sums them."""
+    """Stores the counts of all other domains, as summed by a hub."""
     self._counts_by_peer['elsewhere'] = (time.monotonic(), running)
 
   @contextlib.contextmanager
   def count(self, id: str) -> Iterator[Load]:
-    """Counts a request at an instance while the context lasts."""
+    """Returns a context that counts a request at an instance."""
     load = self._load_by_id.setdefault(id, Load())
     load.running += 1
-    if load.rested_at:
-      load.rested_at.pop()
+    if load.idle_since:
+      load.idle_since.pop()
     try:
       yield load
     finally:
       load.running -= 1
 
   def note_rested(self, id: str) -> None:
-    """Takes note that the connection of a request can be used again."""
+    """Records that the connection of a request can be reused."""
     load = self._load_by_id.setdefault(id, Load())
     now = time.monotonic()
-    load.rested_at = [at for at in load.rested_at if now - at < RESTED_SECONDS]
-    load.rested_at.append(now)
-    self._rested.pop(id, None)
-    self._rested[id] = None
+    load.idle_since = [
+      at for at in load.idle_since if now - at < IDLE_CONNECTION_TTL_SECONDS
+    ]
+    load.idle_since.append(now)
+    self._idle_lives.pop(id, None)
+    self._idle_lives[id] = None
 
   def note_prompt(self, id: str, parts: Sequence[turn_messages.Part]) -> None:
-    """Takes note of what a prompt that goes to an instance begins with."""
+    """Records the first part of a prompt that is sent to an instance."""
     if parts:
-      self._shared_at[id, parts[0].id] = time.monotonic()
-      self._sharer_by_part[parts[0].id] = id
+      self._prefix_sent_at[id, parts[0].id] = time.monotonic()
+      self._holder_by_prefix[parts[0].id] = id
 
-  def _count_shared(
+  def _count_shared_tokens(
     self, id: str, parts: Sequence[turn_messages.Part], now: float
   ) -> int:
     if not parts:
       return 0
-    at = self._shared_at.get((id, parts[0].id))
-    is_held = at is not None and now - at < SHARED_SECONDS
+    at = self._prefix_sent_at.get((id, parts[0].id))
+    is_held = at is not None and now - at < SHARED_PREFIX_TTL_SECONDS
     return parts[0].tokens if is_held else 0
 
   def note_seconds(self, id: str, service: str, seconds: float) -> None:
-    """Learns from a request that took `seconds`."""
+    """Adds the duration of a request to the moving averages."""
     load = self._load_by_id.setdefault(id, Load())
-    load.seconds += LEARN_WEIGHT * (seconds - load.seconds)
-    usual = self.get_usual_seconds(service)
-    usual += LEARN_WEIGHT * (seconds - usual)
-    self._usual_by_service[service] = usual
+    load.seconds += EWMA_WEIGHT * (seconds - load.seconds)
+    mean = self.get_usual_seconds(service)
+    mean += EWMA_WEIGHT * (seconds - mean)
+    self._mean_seconds_by_service[service] = mean
 
   def get_usual_seconds(self, service: str) -> float:
-    """Returns what a request takes at a service, all instances together."""
-    return self._usual_by_service.get(service, FIRST_SECONDS)
+    """Returns the average request time over all instances of a service."""
+    return self._mean_seconds_by_service.get(service, INITIAL_ESTIMATE_SECONDS)
 
   def note_unreachable(self, id: str) -> None:
-    """Passes an instance over for a while."""
+    """Makes `choose` skip an instance for a short time."""
     load = self._load_by_id.setdefault(id, Load())
-    load.passed_over_until = time.monotonic() + PASSED_OVER_SECONDS
+    load.unreachable_until = time.monotonic() + UNREACHABLE_BACKOFF_SECONDS
 
   def forget(self, known: Collection[str]) -> None:
-    """Drops what is kept of instances that are not known any more."""
-    gone = [
+    """Drops the state of instances that are no longer known.
+
+    `known` has the lives of the instances that are.  Expired prefixes and idle
+    connections are dropped as well.
+    """
+    stale = [
       id
       for id, load in self._load_by_id.items()
       if id not in known and not load.running
     ]
-    for id in gone:
+    for id in stale:
       del self._load_by_id[id]
-    limit = time.monotonic() - SHARED_SECONDS
-    self._shared_at = {
-      key: at for key, at in self._shared_at.items() if at > limit
+    oldest = time.monotonic() - SHARED_PREFIX_TTL_SECONDS
+    self._prefix_sent_at = {
+      key: at for key, at in self._prefix_sent_at.items() if at > oldest
     }
-    self._sharer_by_part = {
+    self._holder_by_prefix = {
       part: id
-      for part, id in self._sharer_by_part.items()
-      if (id, part) in self._shared_at
+      for part, id in self._holder_by_prefix.items()
+      if (id, part) in self._prefix_sent_at
     }
     now = time.monotonic()
-    self._rested = {
-      id: None for id in self._rested if self._get(id).has_rested(now)
+    self._idle_lives = {
+      id: None
+      for id in self._idle_lives
+      if self._get(id).has_idle_connection(now)
     }
 
   def choose(
     self,
-    found: instances.Group,
+    group: instances.Group,
     *,
     tried: Collection[str],
     prompt: int = 0,
     parts: Sequence[turn_messages.Part] = (),
     cached_by_id: dict[str, int] | None = None,
   ) -> instances.Instance | None:
-    """Returns the best of a few instances, if any is left to try.
+    """Returns the best of a few instances, None if all were tried.
 
-    Those are the ones that hold the prompt, one that holds its shared part, one
-    with a connection at rest, and two drawn at random (`decisions/draws.py`).
+    Compared are the instances that hold the prompt in their cache, one that
+    holds its shared first part, one with an idle connection, and two drawn at
+    random (`decisions/draws.py`).  `tried` has the lives to leave out, `prompt`
+    is in tokens, as are the values of `cached_by_id`.
     """
     now = time.monotonic()
     cached_by_id = cached_by_id or {}
 
     def is_fit(item: instances.Instance) -> bool:
-      return item.life not in tried and self._is_fit(item, now)
+      return item.life not in tried and self._is_reachable(item, now)
 
     known = [
       *cached_by_id,
-      *self._find_sharer(parts, now),
-      *self._find_rested(found, now),
+      *self._find_prefix_holder(parts, now),
+      *self._find_idle(group, now),
     ]
-    looked_at = {
+    considered = {
       life: item
       for life in known
-      if (item := found.by_life.get(life)) is not None and is_fit(item)
+      if (item := group.by_life.get(life)) is not None and is_fit(item)
     }
     for item in self._draw(
-      found, lambda item: item.life not in looked_at and is_fit(item)
+      group, lambda item: item.life not in considered and is_fit(item)
     ):
-      looked_at[item.life] = item
-    if not looked_at:
-      # All that are left are unreachable or cut off: any may be back.
-      looked_at = {i.life: i for i in found.all if i.life not in tried}
+      considered[item.life] = item
+    if not considered:
+      # All remaining instances were unreachable or cut off; any of them may
+      # have recovered.
+      considered = {i.life: i for i in group.all if i.life not in tried}
     candidates = [
       self._make_candidate(
         item,
-        risk=FAILURE_SECONDS * self.health.get(life),
+        risk=FAILURE_PENALTY_SECONDS * self.health.get(life),
         cached=max(
-          cached_by_id.get(life, 0), self._count_shared(life, parts, now)
+          cached_by_id.get(life, 0), self._count_shared_tokens(life, parts, now)
         ),
-        added=TURN_SECONDS if prompt else 0.0,
+        added=TURN_COST_SECONDS if prompt else 0.0,
         now=now,
       )
-      for life, item in looked_at.items()
+      for life, item in considered.items()
     ]
     chosen = routing.choose(
-      candidates, prompt=prompt, prefill_rate=PREFILL_RATE
+      candidates, prompt=prompt, prefill_rate=PREFILL_TOKENS_PER_SECOND
     )
-    return looked_at[chosen.name] if chosen else None
+    return considered[chosen.name] if chosen else None
 
   def _draw(
     self,
-    found: instances.Group,
+    group: instances.Group,
     is_fit: Callable[[instances.Instance], bool],
   ) -> list[instances.Instance]:
-    """Returns instances drawn at random, sound ones among them if there are."""
-    near = found.find_near(self._domain)
-    drawn = draws.draw(near, found.all, is_fit=is_fit, pick=random.choice)
+    """Returns instances drawn at random.
+
+    If one of the drawn instances has failed recently, instances without
+    failures are drawn as well.
+    """
+    near = group.find_near(self._domain)
+    drawn = draws.draw(near, group.all, is_fit=is_fit, pick=random.choice)
     if not any(self.health.get(item.life) for item in drawn):
       return drawn
 
-    def is_sound(item: instances.Instance) -> bool:
+    def is_healthy(item: instances.Instance) -> bool:
       return is_fit(item) and not self.health.get(item.life)
 
-    sound = draws.draw(near, found.all, is_fit=is_sound, pick=random.choice)
-    return [*drawn, *sound]
+    healthy = draws.draw(near, group.all, is_fit=is_healthy, pick=random.choice)
+    return [*drawn, *healthy]
 
-  def _is_fit(self, item: instances.Instance, now: float) -> bool:
-    """Returns whether an instance can be reached, as far as is known.
+  def _is_reachable(self, item: instances.Instance, now: float) -> bool:
+    """Returns whether an instance is believed to be reachable.
 
-    A request to a domain that is cut off waits for its deadline: what was
-    sent may have run there and is not sent again.
+    A request to a domain that is cut off waits until its deadline: it may have
+    run there and is not sent again.
     """
-    passed_over = self._get(item.life).passed_over_until > now
-    return not passed_over and not self._is_silent(item.domain)
+    is_backing_off = self._get(item.life).unreachable_until > now
+    return not is_backing_off and not self._is_silent(item.domain)
 
-  def _find_sharer(
+  def _find_prefix_holder(
     self, parts: Sequence[turn_messages.Part], now: float
   ) -> list[str]:
-    """Returns the instance that was sent a prompt's first part last."""
-    known = self._sharer_by_part.get(parts[0].id) if parts else None
-    if known is None or self._count_shared(known, parts, now) == 0:
+    """Returns the instance that last received the prompt's first part."""
+    known = self._holder_by_prefix.get(parts[0].id) if parts else None
+    if known is None or self._count_shared_tokens(known, parts, now) == 0:
       return []
     return [known]
 
-  def _find_rested(self, found: instances.Group, now: float) -> list[str]:
-    """Returns the instance of the group that was used last, if it rests."""
-    for life in reversed(self._rested):
-      if life in found.by_life and self._get(life).has_rested(now):
+  def _find_idle(self, group: instances.Group, now: float) -> list[str]:
+    """Returns the group's last used instance with an idle connection."""
+    for life in reversed(self._idle_lives):
+      if life in group.by_life and self._get(life).has_idle_connection(now):
         return [life]
     return []
 
   def get_total(self, id: str) -> int:
-    """Returns the requests of all daemons at an instance."""
+    """Returns the number of requests of all daemons at an instance."""
     return self._get(id).running + self._count_others(id, time.monotonic())
 
-  def estimate_return(self, found: instances.Group) -> float:
-    """Returns when a refused request should find a free slot, in seconds."""
-    running = sum(self.get_total(item.life) for item in found.all)
-    seconds = [self._get(item.life).seconds for item in found.all]
+  def estimate_return(self, group: instances.Group) -> float:
+    """Returns the seconds until a rejected request should find a free slot."""
+    running = sum(self.get_total(item.life) for item in group.all)
+    seconds = [self._get(item.life).seconds for item in group.all]
     return retry_after.estimate(
       running=running,
-      slots=sum(item.slots for item in found.all),
+      slots=sum(item.slots for item in group.all),
       seconds=sum(seconds) / len(seconds) if seconds else 0.0,
     )
 
@@ -325,11 +355,11 @@
     return self._load_by_id.get(id) or Load()
 
   def _count_others(self, id: str, now: float) -> int:
-    """Returns the requests of all other daemons at an instance."""
+    """Returns the number of other daemons' requests at an instance."""
     return sum(
       max(0, counts.get(id, 0))
       for at, counts in self._counts_by_peer.values()
-      if now - at <= COUNTS_SECONDS
+      if now - at <= COUNTS_TTL_SECONDS
     )
 
   def _make_candidate(
@@ -342,11 +372,11 @@
     now: float,
   ) -> routing.Candidate:
     load = self._get(item.life)
-    # What a turn takes depends on the load of its engine, which counts by
-    # itself here.
-    seconds = FIRST_SECONDS if added else load.seconds
-    if not load.has_rested(now):
-      seconds += CONNECT_SECONDS
+    # The duration of a turn depends on the load of its engine, which `added`
+    # accounts for; the measured average would count that load twice.
+    seconds = INITIAL_ESTIMATE_SECONDS if added else load.seconds
+    if not load.has_idle_connection(now):
+      seconds += CONNECT_COST_SECONDS
     return routing.Candidate(
       name=item.life,
       slots=item.slots,
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Instances that fail: who learns of it, and when they are trusted again."""
+"""Detection of failing instances, its spread to peers, and recovery."""
 
 import asyncio
 import contextlib
@@ -25,42 +25,42 @@
   return Clock(monkeypatch)
 
 
-def test_failures_fade_and_are_forgotten(clock):
+def test_failures_decay_and_expire(clock):
   found = health.Health()
   found.note_failure('a')
   assert found.get_all() == {}
-  clock.now += health.HALF_LIFE_SECONDS
+  clock.now += health.FAILURE_HALF_LIFE_SECONDS
   found.note_failure('a')
   assert found.get_all() == {'a': 0.5}
-  clock.now += health.HALF_LIFE_SECONDS
+  clock.now += health.FAILURE_HALF_LIFE_SECONDS
   assert found.get_all() == {}
   assert found.tell() == {'a': 0.8}
-  clock.now += 5 * health.HALF_LIFE_SECONDS
+  clock.now += 5 * health.FAILURE_HALF_LIFE_SECONDS
   assert found.tell() == {}
 
 
-def test_no_number_of_failures_counts_for_more_than_a_bound(clock):
+def test_the_failures_of_an_instance_are_capped(clock):
   found = health.Health()
   for _ in range(50):
     found.note_failure('a')
-  found.take('peer', {'a': health.MOST_FAILURES})
-  most = health.MOST_FAILURES - health.TOLERATED
+  found.take('peer', {'a': health.MAX_FAILURES})
+  most = health.MAX_FAILURES - health.TOLERATED_FAILURES
   assert found.get_all() == {'a': most}
 
 
-def test_a_request_without_an_answer_counts_while_it_waits(clock):
+def test_an_overdue_request_counts_as_failed_before_it_ends(clock):
   found = health.Health()
   found.note_sent('r', 'a', 'tools')
-  clock.now += health.LEAST_OVERDUE_SECONDS
+  clock.now += health.MIN_OVERDUE_SECONDS
   assert found.get_all() == {}
   clock.now += 0.1
   assert found.get_all() == {'a': 0.5}
-  # The caller gives up: the instance has failed all the same.
+  # The caller cancels the request; the failure still counts.
   found.note_end('r')
   assert found.get_all() == {'a': 0.5}
 
 
-def test_what_takes_long_at_a_service_is_given_longer_for_a_while(clock):
+def test_slow_responses_raise_the_timeout_of_their_service_for_a_while(clock):
   found = health.Health()
   found.note_sent('slow', 'a', 'tools')
   clock.now += 0.9
@@ -74,22 +74,22 @@
   clock.now += 0.2
   assert found.get_all()['a'] == 0.5
   found.note_end('r')
-  clock.now += 4 * health.LONGEST_HALF_LIFE_SECONDS
+  clock.now += 4 * health.LATENCY_HALF_LIFE_SECONDS
   found.note_sent('late', 'a', 'tools')
-  clock.now += health.LEAST_OVERDUE_SECONDS + 0.1
+  clock.now += health.MIN_OVERDUE_SECONDS + 0.1
   assert found.get_all() == {'a': 0.5}
 
 
-def test_what_peers_told_adds_up_and_is_forgotten(clock):
+def test_reports_of_peers_add_up_and_expire(clock):
   found = health.Health()
   found.take('one', {'a': 1.0})
   found.take('two', {'a': 0.5, 'b': 0.5})
   assert found.get_all() == {'a': 0.5}
-  clock.now += health.TOLD_SECONDS
+  clock.now += health.PEER_REPORT_TTL_SECONDS
   assert found.get_all() == {}
 
 
-def test_a_sum_that_has_what_this_daemon_told_counts_it_once(clock):
+def test_own_failures_in_the_sum_of_a_domain_count_once(clock):
   found = health.Health()
   found.note_failure('a')
   assert found.tell() == {'a': 1.0}
@@ -97,18 +97,20 @@
   assert found.get_all() == {'a': 2.0}
 
 
-def test_the_log_names_what_is_avoided_and_when_that_ends(clock, caplog):
+def test_the_log_says_which_instances_become_and_cease_to_be_avoided(
+  clock, caplog
+):
   caplog.set_level('INFO', logger='woadrun.health')
   found = health.Health()
   found.note_failure('a', 3.0)
   found.log_changes()
   found.log_changes()
   assert found.avoided == {'a'}
-  clock.now += 5 * health.HALF_LIFE_SECONDS
+  clock.now += 5 * health.FAILURE_HALF_LIFE_SECONDS
   found.log_changes()
   assert [record.message for record in caplog.records] == [
     'Instance a is avoided: 2.0 failures.',
-    'Instance a is trusted again.',
+    'Instance a is no longer avoided.',
   ]
 
 
@@ -129,19 +131,19 @@
   return {load.choose(instances.Group(found), tried=()).id for _ in range(40)}
 
 
-def test_an_instance_that_failed_is_left_while_another_is_as_good():
+def test_a_failing_instance_is_avoided_while_another_is_equally_fast():
   load = loads.Loads(domain='north-1')
   assert choose(load) == {'bad', 'good'}
   load.health.note_failure('bad')
   assert choose(load) == {'bad', 'good'}
   load.health.note_failure('bad')
   assert choose(load) == {'good'}
-  # Where all fail alike, none is left out.
+  # No instance is avoided when all fail equally.
   load.health.note_failure('good', 2.0)
   assert choose(load) == {'bad', 'good'}
 
 
-def test_peers_of_the_own_domain_warn_others_do_not():
+def test_only_reports_from_the_own_domain_count():
   load = loads.Loads(domain='north-1')
   load.take_beat(make_beat('north-2', {'bad': 2.0}))
   assert choose(load) == {'bad', 'good'}
@@ -149,7 +151,7 @@
   assert choose(load) == {'good'}
 
 
-def test_a_failing_instance_still_beats_one_with_a_long_queue():
+def test_a_failing_instance_is_preferred_to_one_with_a_long_queue():
   load = loads.Loads(domain='north-1')
   load.health.note_failure('bad', 2.0)
   load.take_beat(
@@ -161,7 +163,10 @@
 
 
 class Flawed(nodes.Engines):
-  """Engines one of which loses what it gets, or never answers."""
+  """Engines one of which resets its connections or never responds.
+
+  `met` counts the requests that this engine received.
+  """
 
   def __init__(self, bad, *, is_mute):
     super().__init__()
@@ -190,7 +195,9 @@
 
 
 @pytest.mark.parametrize('is_mute', [False, True])
-async def test_what_one_daemon_meets_at_an_instance_spares_the_others(is_mute):
+async def test_failures_seen_by_one_daemon_keep_others_from_the_instance(
+  is_mute,
+):
   async with nodes.Nodes() as fleet:
     fleet.engines = Flawed('t1', is_mute=is_mute)
     await fleet.start('n1', 'n2', 'n3')
@@ -211,17 +218,19 @@
     assert fleet.engines.met == met
 
 
-def test_a_look_does_not_change_what_was_told(clock):
+def test_reading_failures_does_not_change_the_last_report(clock):
   found = health.Health()
   found.note_failure('a', 3.0)
   assert found.tell() == {'a': 3.0}
-  # Seen after the hub made its sum, and looked at.
+  # A failure after the hub computed its sum, and a read of all failures.
   found.note_failure('a', 2.0)
   found.take('peer', {'a': 1.0})
   found.get_all()
   found.take('peer', {})
-  # The sum has the 3 that were told, and 2 of others.
+  # The sum has the 3 reported failures and 2 of other daemons.
   found.take_sum({'a': 5.0}, age=0.0)
-  assert found.get_all() == {'a': health.MOST_FAILURES - health.TOLERATED}
+  assert found.get_all() == {
+    'a': health.MAX_FAILURES - health.TOLERATED_FAILURES
+  }
   found._record_by_id.clear()
-  assert found.get_all() == {'a': 2.0 - health.TOLERATED}
+  assert found.get_all() == {'a': 2.0 - health.TOLERATED_FAILURES}
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Placement of requests by the load of all daemons."""
+"""Placement of requests by the load that all daemons report."""
 
 from woadrun.process import beats
 from woadrun.process import loads
@@ -17,7 +17,7 @@
   )
 
 
-def test_turns_leave_a_busy_engine_long_before_its_slots_are_full():
+def test_turns_avoid_a_busy_engine_long_before_its_slots_are_full():
   load = loads.Loads(domain='north-1')
   load.take_beat(make_beat({'near': 20}))
   found = [make_instance('near'), make_instance('far', domain='north-2')]
@@ -25,7 +25,7 @@
   assert chosen.id == 'far'
 
 
-def test_a_kept_prompt_outweighs_a_few_running_turns_but_not_many():
+def test_a_cached_prompt_outweighs_a_few_running_turns_but_not_many():
   load = loads.Loads(domain='north-1')
   found = [make_instance('holder'), make_instance('free')]
   cached = {'holder': 8000}
@@ -48,7 +48,7 @@
   assert load.choose(instances.Group(found), tried=()).id == 'b'
 
 
-def test_an_unreachable_instance_is_passed_over_while_there_are_others():
+def test_an_unreachable_instance_is_skipped_while_there_are_others():
   load = loads.Loads(domain='north-1')
   found = [make_instance('a'), make_instance('b')]
   load.note_unreachable('a')
@@ -57,7 +57,7 @@
   assert load.choose(instances.Group(found), tried=('a', 'b')) is None
 
 
-def test_the_time_to_return_grows_with_what_waits():
+def test_the_estimated_retry_delay_grows_with_the_load():
   load = loads.Loads(domain='north-1')
   found = [make_instance('a', slots=4)]
   free = load.estimate_return(instances.Group(found))
@@ -65,7 +65,7 @@
   assert load.estimate_return(instances.Group(found)) > free
 
 
-def test_instances_of_a_domain_that_is_cut_off_are_passed_over():
+def test_instances_in_a_domain_that_is_cut_off_are_skipped():
   load = loads.Loads(
     domain='north-1', is_silent=lambda domain: domain == 'north-2'
   )
@@ -83,7 +83,7 @@
   }
 
 
-def test_a_rested_connection_decides_between_instances_as_good():
+def test_an_idle_connection_decides_between_equal_instances():
   load = loads.Loads(domain='north-1')
   found = [make_instance(id, slots=6) for id in 'abcdef']
   assert len(choose_often(load, found)) > 1
@@ -92,21 +92,21 @@
   load.note_rested('d')
   assert choose_often(load, found) == {'d'}
   with load.count('d'):
-    # Its only connection is in use.
+    # The only connection to instance d is in use.
     assert len(choose_often(load, found)) > 1
 
 
-def test_a_connection_that_rested_long_decides_nothing(monkeypatch):
+def test_a_connection_idle_for_too_long_is_ignored(monkeypatch):
   now = 100.0
   monkeypatch.setattr('time.monotonic', lambda: now)
   load = loads.Loads(domain='north-1')
   found = [make_instance(id, slots=6) for id in 'abcdef']
   load.note_rested('d')
-  now += loads.RESTED_SECONDS
+  now += loads.IDLE_CONNECTION_TTL_SECONDS
   assert len(choose_often(load, found)) > 1
 
 
-def test_a_rested_connection_does_not_outweigh_a_busy_instance():
+def test_an_idle_connection_does_not_outweigh_a_high_load():
   load = loads.Loads(domain='north-1')
   found = [make_instance(id, slots=6) for id in 'ab']
   load.note_rested('a')
@@ -114,7 +114,7 @@
   assert choose_often(load, found) == {'b'}
 
 
-def test_sums_of_the_own_domain_count_the_own_requests_once():
+def test_own_requests_in_the_sum_of_the_domain_count_once():
   load = loads.Loads(domain='north-1')
   with load.count('a'), load.count('a'):
     load.tell_running()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,6 +1,7 @@
-"""Many daemons place calls at once, by counts that are late.
+"""Placement of calls by many daemons at once, with stale counts.
 
-Queues of upstreams in virtual time, and the real `Loads` of each daemon.
+Simulates the queues of upstreams in virtual time, with the real `Loads` of each
+daemon.
 """
 
 import collections
@@ -20,12 +21,12 @@
 UPSTREAMS = 30
 SLOTS = 6
 CALL_SECONDS = 0.25
-# Between two digests of a domain, and how old its counts are at most.
-DIGEST_SECONDS = 0.25
+# Interval between two digests of a domain, and the maximum age of its counts.
+DIGEST_INTERVAL_SECONDS = 0.25
 
 
 class Queues:
-  """Upstreams with slots, first come, first served."""
+  """Upstreams with a fixed number of slots and FIFO queues."""
 
   def __init__(self, monkeypatch, *, seed):
     self.now = 1000.0
@@ -54,7 +55,10 @@
     self._number = 0
 
   def run(self, *, calls, share):
-    """Returns the waits of calls that take a share of all slots, in seconds."""
+    """Returns the queueing times of calls, in seconds.
+
+    `share` is the utilization of all slots.
+    """
     rate = share * UPSTREAMS * SLOTS / CALL_SECONDS
     next_call = next_digest = self.now
     while len(self.waits) < calls:
@@ -63,8 +67,8 @@
       if self.now == ends and self._ends:
         self._end(*heapq.heappop(self._ends)[2:])
       elif self.now == next_digest:
-        self._tell()
-        next_digest += DIGEST_SECONDS
+        self._send_digests()
+        next_digest += DIGEST_INTERVAL_SECONDS
       else:
         self._place(self.random.choice(self.loads))
         next_call += self.random.expovariate(rate)
@@ -79,8 +83,8 @@
     else:
       self.waiting[id].append((context, self.now))
 
-  def _begin(self, id, context, came_at):
-    self.waits.append(self.now - came_at)
+  def _begin(self, id, context, arrived_at):
+    self.waits.append(self.now - arrived_at)
     self.running[id] += 1
     self._number += 1
     end = self.now + self.random.expovariate(1 / CALL_SECONDS)
@@ -92,7 +96,7 @@
     if self.waiting[id]:
       self._begin(id, *self.waiting[id].pop(0))
 
-  def _tell(self):
+  def _send_digests(self):
     for domain in DOMAINS:
       running = collections.Counter()
       for load in self.loads:
@@ -103,8 +107,9 @@
         load.take_digest(digest)
 
 
-# With half of the slots in use, a call waits a tenth of its own time at most;
-# with five sixths in use, as long as it takes itself.
+# The mean queueing time is limited to a tenth of the mean call duration with
+# half of the slots in use, and to the mean call duration with five sixths in
+# use.
 @pytest.mark.parametrize('seed', [1, 2, 3])
 @pytest.mark.parametrize(('share', 'most'), [(0.5, 0.1), (5 / 6, 1.0)])
 def test_calls_of_many_daemons_do_not_all_choose_the_same_upstream(
@@ -114,21 +119,21 @@
   assert statistics.mean(waits) <= most * CALL_SECONDS
 
 
-def test_a_choice_looks_at_few_upstreams_however_many_there_are():
-  looked_at = []
+def test_a_choice_examines_few_upstreams_regardless_of_their_number():
+  examined = []
 
   def is_fit(item):
-    looked_at.append(item)
+    examined.append(item)
     return True
 
   found = draws.draw(
     range(1000), range(10_000), is_fit=is_fit, pick=random.choice
   )
   assert len(found) == 2
-  assert len(looked_at) <= 3
+  assert len(examined) <= 3
 
 
-def test_the_only_fit_upstreams_are_found_among_many():
+def test_the_only_eligible_upstreams_are_found_among_many():
   found = draws.draw(
     range(10), range(1000), is_fit={3, 700}.__contains__, pick=random.choice
   )
