--- a/src/woadrun/process/catalogue.py
+++ b/src/woadrun/process/catalogue.py
@@ -1,7 +1,7 @@
-"""What the platform tells all daemons: the routing table, the instances.
+"""The routing table and the instances, as announced by the platform.
 
-Both come by feeds.  A version of the routing table is taken whole, and an
-older one never replaces a newer one.
+Both arrive through feeds.  A version of the routing table is applied as a
+whole, and an older version never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -27,33 +27,34 @@
 
 log = logging.getLogger('woadrun.catalogue')
 
-LOOK_SECONDS = 0.5
-# The same while entries are missing that are about to be dropped, in seconds.
-MISSING_LOOK_SECONDS = 0.1
-# A daemon knows routes and instances so soon after its start, or the store is
-# out, in seconds; callers that come in between wait for that.
-START_SECONDS = 1.0
-# Confirmations of the routing table within the time for which a revoked key may
-# still be used.
-CONFIRMATIONS = 10
-# Between two refreshes of the routing table, in seconds, however many requests
-# ask for one.
-REFRESH_SECONDS = 0.25
+# Interval between checks for missing instances whose grace period has ended.
+DROP_INTERVAL_SECONDS = 0.5
+# The same interval while any instance is missing.
+MISSING_DROP_INTERVAL_SECONDS = 0.1
+# Time after the start within which a daemon learns routes and instances unless
+# the store is unavailable.  Requests that arrive earlier wait until then.
+STARTUP_TIMEOUT_SECONDS = 1.0
+# Confirmations of the routing table within the period for which a revoked key
+# may still be used.
+CONFIRMATIONS_PER_REVOCATION = 10
+# Minimum interval between two refreshes of the routing table, regardless of the
+# number of requests that ask for one.
+REFRESH_INTERVAL_SECONDS = 0.25
 REFRESH_TIMEOUT_SECONDS = 1.0
-# A table counts as too old so long before it is, in seconds: clocks drift, and
-# a request takes a moment from here to an instance.
+# Margin by which a table counts as too old before it is: clocks drift, and a
+# request takes some time from this daemon to an instance.
 AGE_MARGIN_SECONDS = 0.1
 
 
 class Catalogue(mode.Service):
-  """The routing table in force and the live instances.
+  """The current routing table and the live instances.
 
   `decode_table` and `decode_instance` raise `msgspec.MsgspecError` for a
-  row that they cannot read.  `grace` is how long an entry that lapsed
-  while the store was away may take to come back, in seconds.  `unreadable`
-  counts the rows of instances that could not be read.  `revocation` is how
-  long keys may be used after they are revoked, in seconds, None where that is
-  not bounded.  `clock` is that of the store.
+  row that they cannot decode.  `grace` is the time in seconds within which an
+  entry that expired while the store was unavailable may be registered again.
+  `unreadable` counts the instance rows that could not be decoded.  `revocation`
+  is the time in seconds for which a key may be used after it is revoked, None
+  if that is not bounded.  `clock` is the store's clock.
   """
 
   def __init__(
@@ -79,169 +80,175 @@
     self.directory = instances.Directory(grace=grace)
     self.unreadable = 0
     self._started_at = math.inf
-    self._is_told = asyncio.Event()
-    wait = feed.WAIT_SECONDS
+    self._known_event = asyncio.Event()
+    wait = feed.LONG_POLL_TIMEOUT_SECONDS
     if revocation is not None:
-      wait = min(wait, revocation / CONFIRMATIONS)
+      wait = min(wait, revocation / CONFIRMATIONS_PER_REVOCATION)
     self._tables = feed.Feed(
       store=store,
       table=table_key.table,
-      on_list=self._take_tables,
-      on_row=self._take_table,
-      on_read=self._note_read,
+      on_list=self._apply_table_rows,
+      on_row=self._apply_table_row,
+      on_read=self._record_read,
       wait=wait,
     )
     self.age = table_age.TableAge(
       clock=clock or store_clock.StoreClock(),
       get_version=lambda: -1 if (v := self._tables.version) is None else v,
     )
-    self._refreshing: asyncio.Task[bool] | None = None
+    self._refresh_task: asyncio.Task[bool] | None = None
     self._refreshed_at = -math.inf
-    self._is_behind = False
-    self._listed = feed.Feed(
+    self._has_undecodable_table = False
+    self._instance_feed = feed.Feed(
       store=store,
       table=instance_table,
-      on_list=self._take_instances,
-      on_row=self._take_instance,
+      on_list=self._apply_instance_list,
+      on_row=self._apply_instance_row,
     )
 
   async def on_start(self) -> None:
-    """Begins to follow both tables."""
+    """Starts following both tables."""
     self._started_at = time.monotonic()
     await self.add_runtime_dependency(self._tables)
-    await self.add_runtime_dependency(self._listed)
+    await self.add_runtime_dependency(self._instance_feed)
 
   @property
   def feeds(self) -> list[feed.Feed]:
-    """The feeds of the tables that it knows from."""
-    return [self._tables, self._listed]
+    """The feeds of the routing table and of the instances."""
+    return [self._tables, self._instance_feed]
 
   @property
   def is_known(self) -> bool:
-    """Whether both routes and instances were told."""
-    return self.table is not None and self.is_listed
+    """Whether both the routing table and the instances are known."""
+    return self.table is not None and self.has_instance_list
 
   async def wait_known(self) -> None:
-    """Returns once they were told, or cannot be expected soon.
+    """Returns once routes and instances are known or the start-up time is over.
 
-    After a loss of all daemons callers come back to processes that have just
-    started.  Refused at once they were late, or out of tries, though routes
-    were known a moment later.
+    After a failure of all daemons, callers retry at processes that have just
+    started.  When such requests were refused immediately, callers missed their
+    deadlines or ran out of attempts although routes were known a moment later.
     """
-    left = self._started_at + START_SECONDS - time.monotonic()
-    if self.is_known or left <= 0:
+    remaining = self._started_at + STARTUP_TIMEOUT_SECONDS - time.monotonic()
+    if self.is_known or remaining <= 0:
       return
     with contextlib.suppress(TimeoutError):
-      async with asyncio.timeout(left):
-        await self._is_told.wait()
+      async with asyncio.timeout(remaining):
+        await self._known_event.wait()
 
-  def _note_told(self) -> None:
+  def _notify_if_known(self) -> None:
     if self.is_known:
-      self._is_told.set()
+      self._known_event.set()
 
   @property
-  def is_listed(self) -> bool:
-    """Whether the instances were told yet."""
-    return self._listed.version is not None
+  def has_instance_list(self) -> bool:
+    """Whether a list of the instances was received."""
+    return self._instance_feed.version is not None
 
   @property
   def version(self) -> int:
-    """The version of the routing table in force, -1 without one."""
+    """The version of the current routing table, -1 if there is none."""
     return self.table.version if self.table else -1
 
   # --- The routing table ----------------------------------------------------
 
   def take_table(self, value: bytes) -> None:
-    """Puts a routing table in force, unless it is not newer."""
+    """Applies an encoded routing table if it is newer than the current one."""
     try:
       table = self._decode_table(value)
     except msgspec.MsgspecError as error:
-      log.error('A routing table is unreadable: %s', error)
-      # The unreadable table may revoke keys of the one in force.
-      self._is_behind = True
+      log.error('Cannot decode routing table: %s', error)
+      # The table that cannot be decoded may revoke keys of the current one.
+      self._has_undecodable_table = True
       return
-    self._is_behind = False
+    self._has_undecodable_table = False
     if table.version <= self.version:
       return
     log.info(
-      'Routing table %d in force; it was %d.', table.version, self.version
+      'Applied routing table version %d; the previous one was %d.',
+      table.version,
+      self.version,
     )
     self.table = table
-    self._note_told()
+    self._notify_if_known()
 
-  # --- Its age --------------------------------------------------------------
+  # --- Age of the routing table ---------------------------------------------
 
   def is_fresh(self) -> bool:
-    """Returns whether no known key can have been revoked too long ago."""
+    """Returns whether the table is recent enough to check keys with it.
+
+    No key in a fresh table was revoked longer ago than `revocation` permits.
+    """
     if self._revocation is None:
       return True
-    if self._is_behind:
+    if self._has_undecodable_table:
       return False
     return self.age.get() <= self._revocation - AGE_MARGIN_SECONDS
 
   def tell_confirmed(self) -> tuple[float, int] | None:
-    """Returns up to when no change but the known ones was made.
+    """Returns the time up to which the known changes are complete.
 
-    A reading of the store's clock and the newest known change, None where peers
-    need not know.
+    Returns a reading of the store's clock and the version of the newest known
+    change, None if revocation is not bounded or there is no confirmation.
     """
     if self._revocation is None or not self.age.is_known:
       return None
     return self.age.confirmed, self._tables.changed
 
-  def _note_read(self, began: float) -> None:
+  def _record_read(self, began: float) -> None:
     self.age.note_read(began)
     self._refreshed_at = max(self._refreshed_at, began)
 
   async def refresh(self) -> bool:
-    """Returns whether the table is known to be the newest one as of this call.
+    """Returns whether the table was confirmed as the newest since this call.
 
-    However many requests ask, the store is asked by one call at a time.
+    Concurrent callers share one call of the store at a time.
     """
     asked_at = time.monotonic()
     while self._refreshed_at < asked_at:
-      if self._refreshing is None or self._refreshing.done():
-        self._refreshing = asyncio.ensure_future(self._refresh_once())
-      if not await asyncio.shield(self._refreshing):
+      if self._refresh_task is None or self._refresh_task.done():
+        self._refresh_task = asyncio.ensure_future(self._refresh_once())
+      if not await asyncio.shield(self._refresh_task):
         return False
     return True
 
   async def _refresh_once(self) -> bool:
-    rest = self._refreshed_at + REFRESH_SECONDS - time.monotonic()
-    await asyncio.sleep(max(0.0, rest))
+    delay = self._refreshed_at + REFRESH_INTERVAL_SECONDS - time.monotonic()
+    await asyncio.sleep(max(0.0, delay))
     try:
       async with asyncio.timeout(REFRESH_TIMEOUT_SECONDS):
         await self._tables.refresh()
     except (errors.WoadrunError, TimeoutError) as error:
-      log.info('The routing table was not refreshed: %s', error)
+      log.info('Cannot refresh the routing table: %s', error)
       return False
     return True
 
-  def _take_tables(self, found: tuple[rows.Row, ...]) -> None:
-    for row in found:
-      self._take_table(row)
+  def _apply_table_rows(self, listed_rows: tuple[rows.Row, ...]) -> None:
+    for row in listed_rows:
+      self._apply_table_row(row)
 
-  def _take_table(self, row: rows.Row) -> None:
+  def _apply_table_row(self, row: rows.Row) -> None:
     if row.key.name == self._table_key.name and not row.is_removed:
       self.take_table(row.value)
 
   # --- Instances ------------------------------------------------------------
 
-  def _take_instances(self, found: tuple[rows.Row, ...]) -> None:
-    decoded = (self._decode(row) for row in found)
+  def _apply_instance_list(self, listed_rows: tuple[rows.Row, ...]) -> None:
+    decoded = (self._decode(row) for row in listed_rows)
     listed = [instance for instance in decoded if instance is not None]
-    # What a list lacks may have lapsed in the outage before it, if any.
-    self.directory.replace(listed, now=self._listed.regained_at)
-    log.info('%d instances listed.', len(listed))
-    self._note_told()
+    # Instances missing from the list may have expired in an outage of the store
+    # just before, so that their grace period counts from its end.
+    self.directory.replace(listed, now=self._instance_feed.regained_at)
+    log.info('Received a list of %d instances.', len(listed))
+    self._notify_if_known()
 
-  def _take_instance(self, row: rows.Row) -> None:
+  def _apply_instance_row(self, row: rows.Row) -> None:
     if row.is_removed:
       self._remove_instance(row.key.name)
       return
     instance = self._decode(row)
     if instance is None:
-      # What the entry said before does not hold either.
+      # The earlier version of the entry is no longer valid either.
       self.directory.remove(row.key.name)
       return
     known = self.directory.by_id.get(instance.id)
@@ -256,31 +263,37 @@
     self.directory.put(instance)
 
   def _remove_instance(self, id: str) -> None:
-    # Entries that lapsed while the store was away come back soon after it.
-    regained_at = self._listed.regained_at
+    # Instances whose entries expired while the store was unavailable register
+    # again soon after its return.
+    regained_at = self._instance_feed.regained_at
     if time.monotonic() - regained_at < self._grace:
-      kept = [i for i in self.directory.by_id.values() if i.id != id]
-      self.directory.replace(kept, now=regained_at)
+      remaining = [i for i in self.directory.by_id.values() if i.id != id]
+      self.directory.replace(remaining, now=regained_at)
       return
     if self.directory.remove(id) is not None:
-      log.info('Instance %s is gone.', id)
+      log.info('Instance %s was removed.', id)
 
   def _decode(self, row: rows.Row) -> instances.Instance | None:
     try:
       return self._decode_instance(row)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
       self.unreadable += 1
-      log.error('Row %s of instances is unreadable: %s', row.key.name, error)
+      log.error('Cannot decode instance row %s: %s', row.key.name, error)
       return None
 
   @mode.Service.task
   async def _drop_missing(self) -> None:
     while not self.should_stop:
-      is_one_missing = bool(self.directory.get_missing())
+      is_any_missing = bool(self.directory.get_missing())
       await ticks.sleep(
-        MISSING_LOOK_SECONDS if is_one_missing else LOOK_SECONDS
+        MISSING_DROP_INTERVAL_SECONDS
+        if is_any_missing
+        else DROP_INTERVAL_SECONDS
       )
-      if self._listed.is_lost:
+      if self._instance_feed.is_lost:
         continue
       for instance in self.directory.drop_missing(now=time.monotonic()):
-        log.info('Instance %s stayed missing and is gone.', instance.id)
+        log.info(
+          'Instance %s was dropped: still missing after the grace period.',
+          instance.id,
+        )
--- a/src/woadrun/process/feed.py
+++ b/src/woadrun/process/feed.py
@@ -1,7 +1,7 @@
-"""Follows one table of the row store: a list first, then its changes.
+"""Follows one table of the row store: first a full list, then its changes.
 
-A few daemons of each failure domain follow the store; the others take the
-changes from those that have them.
+A few daemons of each failure domain follow the store itself; the others fetch
+the changes from daemons that have them.
 """
 
 from __future__ import annotations
@@ -21,32 +21,34 @@
 
 log = logging.getLogger('woadrun.feed')
 
-# How long the store may hold an answer back while nothing changes, in
-# seconds.  A connection that went silent is found out that much later.
-WAIT_SECONDS = 2.0
+# Time for which the store may delay its response while nothing changes.  The
+# detection of a dead connection is delayed by as much.
+LONG_POLL_TIMEOUT_SECONDS = 2.0
+# The same time for the first call after a loss of contact with the store.
 FIRST_WAIT_SECONDS = 0.05
-# Between tries while the store is out, in seconds.
-RETRY_SECONDS = 0.2
-# The same before the first list, in seconds: a daemon that has just started
-# can serve nobody without it, and finds its way to the store at any moment.
-FIRST_RETRY_SECONDS = 0.03
-# Changes that come within this time are taken by one call, in seconds.
-GATHER_SECONDS = 0.1
-# Between looks whether this daemon should follow the store itself, in seconds:
-# one that follows and is lost is missed no sooner, and each look of each table
-# wakes the process.
-LOOK_SECONDS = 0.5
-# Removed rows that are remembered, for daemons that ask what changed.
-MOST_REMOVED = 1000
+# Delay between attempts while the store is unavailable.
+RETRY_DELAY_SECONDS = 0.2
+# The same delay before the first list: a daemon that has just started cannot
+# serve requests without it, and may reach the store at any moment.
+INITIAL_RETRY_DELAY_SECONDS = 0.03
+# Delay after each change, so that the changes made meanwhile are fetched by a
+# single call.
+BATCH_DELAY_SECONDS = 0.1
+# Interval between checks of whether this daemon should follow the store itself.
+# The failure of a daemon that follows is not noticed any sooner, and each check
+# of each table wakes the process.
+LEADER_CHECK_INTERVAL_SECONDS = 0.5
+# Number of removed rows that are remembered for peers that ask for changes.
+MAX_TOMBSTONES = 1000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Changes:
-  """What changed in a table, up to a version of the store.
+  """The changes of a table up to a version of the store.
 
-  Large rows are packed.  `is_list` says that these are all rows.  `regained`
-  tells how long ago contact with the store was regained, in seconds, None where
-  it was never lost; `is_lost` that there is none now.
+  Large rows are compressed.  `is_list` means that `rows` is the whole table.
+  `regained` is the time in seconds since contact with the store was regained,
+  None if it was never lost.  `is_lost` means that there is no contact now.
   """
 
   rows: tuple[rows.Row, ...]
@@ -57,16 +59,17 @@
 
 
 class Feed(mode.Service):
-  """The rows of one table in its part without a name.
-
-  `on_list` gets all rows whenever the table was read as a whole, `on_row`
-  each change after that.  `regained_at` is when contact was regained last,
-  on the monotonic clock.  `version` is up to where the table is known,
-  `changed` the newest change in it, -1 before the first list.  `leads` tells
-  whether this daemon should follow the store itself, `on_change` is called
-  after each change that the store told, `on_read` after each answer of it, with
-  the time at which the call began.  The store holds an answer back for at most
-  `wait` seconds.
+  """The rows of one table in its unnamed part.
+
+  `on_list` is called with all rows whenever the table was read as a whole,
+  `on_row` with each change after that.  `regained_at` is the time at which
+  contact with the store was last regained, on the monotonic clock.  `version`
+  is the version of the store up to which the table is known, `changed` the
+  version of its newest change, -1 before the first list.  `leads` returns
+  whether this daemon should follow the store itself.  `on_change` is called
+  after changes received from the store, `on_read` after each of its responses
+  with the time at which the call began.  The store delays its response for at
+  most `wait` seconds while nothing changes.
   """
 
   def __init__(
@@ -77,7 +80,7 @@
     on_list: Callable[[tuple[rows.Row, ...]], None],
     on_row: Callable[[rows.Row], None],
     on_read: Callable[[float], None] = lambda began: None,
-    wait: float = WAIT_SECONDS,
+    wait: float = LONG_POLL_TIMEOUT_SECONDS,
   ) -> None:
     super().__init__()
     self._on_read = on_read
@@ -92,27 +95,30 @@
     self.changed = -1
     self.is_lost = True
     self.regained_at = float('-inf')
-    self._began = float('-inf')
+    self._attempt_started_at = float('-inf')
     self._had_contact = False
-    self._has_lost = False
+    self._lost_contact = False
     self._row_by_name: dict[str, rows.Row] = {}
-    self._removed_by_name: dict[str, rows.Row] = {}
-    self._known_from = 0
+    self._tombstone_by_name: dict[str, rows.Row] = {}
+    self._history_from = 0
 
   # --- From the store -------------------------------------------------------
 
   async def read(self) -> None:
-    """Reads the table as a whole."""
+    """Reads the whole table from the store."""
     began = time.monotonic()
     page = await read_all(self._store, self.table, '')
-    self._note_contact()
-    is_new = self._take_list(page.rows, page.version)
+    self._record_contact()
+    is_new = self._apply_list(page.rows, page.version)
     self._on_read(began)
     if is_new:
       self.on_change()
 
   async def refresh(self) -> None:
-    """Brings the table up to date; raises where the store does not answer."""
+    """Brings the table up to date.
+
+    Raises `WoadrunError` if the store does not respond.
+    """
     try:
       if self.version is None:
         await self.read()
@@ -127,9 +133,9 @@
     while not self.should_stop:
       if self.version is not None and not self.leads():
         needs_list = False
-        await ticks.sleep(LOOK_SECONDS)
+        await ticks.sleep(LEADER_CHECK_INTERVAL_SECONDS)
         continue
-      self._began = time.monotonic()
+      self._attempt_started_at = time.monotonic()
       try:
         if needs_list:
           await self.read()
@@ -137,64 +143,78 @@
         else:
           await self._follow_once()
       except rows.HistoryGone:
-        log.info('History of %s is gone: reading it whole.', self.table)
+        log.info(
+          'The store no longer has the history of %s; reading the whole table.',
+          self.table,
+        )
         needs_list = True
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(RETRY_DELAY_SECONDS)
       except errors.WoadrunError as error:
-        self._note_loss(error)
+        self._record_loss(error)
         is_new = self.version is None
-        await asyncio.sleep(FIRST_RETRY_SECONDS if is_new else RETRY_SECONDS)
+        await asyncio.sleep(
+          INITIAL_RETRY_DELAY_SECONDS if is_new else RETRY_DELAY_SECONDS
+        )
 
   async def _follow_once(self) -> None:
-    # After a loss the first answer should not wait for a change: it tells
-    # from when on a removed row is no lapse any more.
+    # After a loss of contact, the first response should not wait for a change:
+    # it sets `regained_at`, from which the grace period of rows that expired in
+    # the outage is counted.
     wait = FIRST_WAIT_SECONDS if self.is_lost else self._wait
     if await self._read_changes(wait=wait):
-      await asyncio.sleep(GATHER_SECONDS)
+      await asyncio.sleep(BATCH_DELAY_SECONDS)
 
   async def _read_changes(self, *, wait: float) -> bool:
-    """Returns whether the store told any change."""
+    """Returns whether the store sent any change."""
     began = time.monotonic()
     known = self.version or 0
     page = await self._store.follow(self.table, after=known, wait=wait)
-    self._note_contact()
-    is_new = self._take_rows(page.rows, page.version)
+    self._record_contact()
+    is_new = self._apply_rows(page.rows, page.version)
     self._on_read(began)
     if is_new:
       self.on_change()
     return bool(page.rows)
 
-  def _note_contact(self) -> None:
+  def _record_contact(self) -> None:
     if not self.is_lost:
       return
     self.is_lost = False
-    # The first contact of a daemon that has just started is no return of the
-    # store: taken for one, it kept entries that were removed just then for as
-    # long as after an outage, everywhere.
-    if self._has_lost:
-      self.regained_at = self._began
-    self._has_lost = False
+    # The first contact of a daemon that has just started is not the end of an
+    # outage.  When it counted as one, all daemons kept entries that were
+    # removed at that moment for the grace period that follows an outage.
+    if self._lost_contact:
+      self.regained_at = self._attempt_started_at
+    self._lost_contact = False
     self._had_contact = True
-    log.info('Following %s, last known at %s.', self.table, self.version)
+    log.info(
+      'Following %s in the store; last known version %s.',
+      self.table,
+      self.version,
+    )
 
-  def _note_loss(self, error: errors.WoadrunError) -> None:
+  def _record_loss(self, error: errors.WoadrunError) -> None:
     if not self.is_lost:
-      log.warning('Lost the feed of %s: %s', self.table, error.message)
+      log.warning(
+        'Lost contact with the store for the feed of %s: %s',
+        self.table,
+        error.message,
+      )
       self.is_lost = True
-    self._has_lost |= self._had_contact
+    self._lost_contact |= self._had_contact
 
-  # --- From and for other daemons -------------------------------------------
+  # --- Exchange with other daemons ------------------------------------------
 
   def find_changes(self, after: int | None) -> Changes | None:
-    """Returns what changed after a version, all rows where that is unknown.
+    """Returns the changes after a version, None before the first list.
 
-    Returns None where this daemon has no list yet.
+    Returns all rows if `after` is None or older than the remembered history.
     """
     if self.version is None:
       return None
     regained = time.monotonic() - self.regained_at
-    is_list = after is None or after < self._known_from
-    known = (*self._row_by_name.values(), *self._removed_by_name.values())
+    is_list = after is None or after < self._history_from
+    known = (*self._row_by_name.values(), *self._tombstone_by_name.values())
     found = (
       self._row_by_name.values()
       if is_list
@@ -212,80 +232,82 @@
     )
 
   def take_changes(self, changes: Changes) -> bool:
-    """Takes what another daemon has; returns whether that is new here."""
-    # A daemon that starts in an outage learns of it from its first source.
-    self._has_lost |= self.version is None and changes.is_lost
+    """Applies changes from another daemon; returns whether any are new."""
+    # A daemon that starts during an outage learns of the outage from the first
+    # peer that sends it a list.
+    self._lost_contact |= self.version is None and changes.is_lost
     if changes.regained is not None:
       regained_at = time.monotonic() - changes.regained
       self.regained_at = max(self.regained_at, regained_at)
     if changes.is_list:
-      return self._take_list(changes.rows, changes.version)
-    return self._take_rows(changes.rows, changes.version)
+      return self._apply_list(changes.rows, changes.version)
+    return self._apply_rows(changes.rows, changes.version)
 
-  # --- What is known --------------------------------------------------------
+  # --- Known rows -----------------------------------------------------------
 
-  def _take_list(self, found: tuple[rows.Row, ...], version: int) -> bool:
+  def _apply_list(self, found: tuple[rows.Row, ...], version: int) -> bool:
     if self.version is not None and version < self.version:
       log.info(
-        'Ignored an old list of %s: version %d, known %d.',
+        'Ignored an outdated list of %s: version %d is older than %d.',
         self.table,
         version,
         self.version,
       )
       return False
-    is_new = self._keep_list(found, version)
+    is_new = self._merge_list(found, version)
     self.version = version
     self._on_list(tuple(packing.unpack(row) for row in found))
     return is_new
 
-  def _keep_list(self, found: tuple[rows.Row, ...], version: int) -> bool:
-    """Returns whether a list tells of changes since the version known.
+  def _merge_list(self, found: tuple[rows.Row, ...], version: int) -> bool:
+    """Merges a list; returns whether it has changes after the known version.
 
-    Only what differs counts as changed: as the store forgot its history, lists
-    read anew had all daemons ask for whole tables, and hubs with small links
-    were late with a routing table.
+    Only rows that differ count as changed.  When all rows of a list counted,
+    after the store had discarded its history, all daemons fetched whole tables
+    from each other, and hubs with slow links delivered a routing table late.
     """
     if self.version is None:
       self._row_by_name = {row.key.name: packing.pack(row) for row in found}
-      self._known_from = self.changed = version
+      self._history_from = self.changed = version
       return True
     listed = {row.key.name for row in found}
-    # When a row that is not there any more was removed, a list does not tell.
-    gone = [
+    # A list does not say at which version its missing rows were removed; the
+    # version of the list is recorded instead.
+    removed = [
       dataclasses.replace(row, value=b'', version=version, is_removed=True)
       for name, row in self._row_by_name.items()
       if name not in listed
     ]
     newer = [row for row in found if row.version > self.version]
-    for row in (*newer, *gone):
-      self._keep(row)
-    return bool(newer or gone)
+    for row in (*newer, *removed):
+      self._store_row(row)
+    return bool(newer or removed)
 
-  def _take_rows(self, found: tuple[rows.Row, ...], version: int) -> bool:
+  def _apply_rows(self, found: tuple[rows.Row, ...], version: int) -> bool:
     known = self.version or 0
     newer = [row for row in found if row.version > known]
     for row in newer:
-      self._keep(row)
+      self._store_row(row)
       self._on_row(packing.unpack(row))
     self.version = max(known, version)
     return bool(newer)
 
-  def _keep(self, row: rows.Row) -> None:
+  def _store_row(self, row: rows.Row) -> None:
     name = row.key.name
     self.changed = max(self.changed, row.version)
     if not row.is_removed:
-      self._removed_by_name.pop(name, None)
+      self._tombstone_by_name.pop(name, None)
       self._row_by_name[name] = packing.pack(row)
       return
     self._row_by_name.pop(name, None)
-    self._removed_by_name[name] = row
-    if len(self._removed_by_name) > MOST_REMOVED:
-      oldest = next(iter(self._removed_by_name))
-      self._known_from = self._removed_by_name.pop(oldest).version
+    self._tombstone_by_name[name] = row
+    if len(self._tombstone_by_name) > MAX_TOMBSTONES:
+      oldest = next(iter(self._tombstone_by_name))
+      self._history_from = self._tombstone_by_name.pop(oldest).version
 
 
 async def read_all(store: rows.RowStore, table: str, part: str) -> rows.Page:
-  """Returns all rows of a part, in as many calls as that takes."""
+  """Returns all rows of a part, reading page by page."""
   found: list[rows.Row] = []
   first = ''
   while True:
@@ -293,5 +315,5 @@
     found.extend(page.rows)
     if not page.is_cut or not page.rows:
       return rows.Page(rows=tuple(found), version=page.version)
-    # The next name in byte order.
+    # The smallest name after the last one, in byte order.
     first = page.rows[-1].key.name + '\0'
--- a/src/woadrun/process/feed_sync.py
+++ b/src/woadrun/process/feed_sync.py
@@ -1,8 +1,8 @@
-"""Spreads what the feeds tell: few daemons ask the store, the others them.
+"""Distributes feeds: a few daemons follow the store, the others follow them.
 
-Each daemon says in its datagrams up to which change it has a table.  One
-that has less asks the other for the rest, so that what a table costs the
-store does not grow with the number of daemons.
+Each daemon announces the newest change that it has of each table in its
+datagrams.  A daemon that is behind fetches the missing changes from the sender,
+so that the load on the store does not grow with the number of daemons.
 """
 
 from __future__ import annotations
@@ -29,18 +29,21 @@
 
 log = logging.getLogger('woadrun.feed')
 
-# Daemons of each failure domain that follow the store: one may be lost and
-# another one hang on a connection that went silent.
-LEADERS = 2
-# Between looks for what others have, in seconds, while no datagram tells.
-LOOK_SECONDS = 0.5
-ASK_SECONDS = 1.0
+# Number of daemons in each failure domain that follow the store: one may fail
+# while another one hangs on a dead connection.
+LEADERS_PER_DOMAIN = 2
+# Interval between checks for newer versions at peers while no datagram
+# announces one.
+CATCH_UP_INTERVAL_SECONDS = 0.5
+FETCH_TIMEOUT_SECONDS = 1.0
 
 
 class FeedSync(mode.Service):
-  """All feeds of one daemon, and what other daemons have of them.
+  """Keeps the feeds of one daemon up to date from other daemons.
 
-  `clock` is the store's; `age_by_table` has the tables whose age matters.
+  `has_store` returns whether the store serves this daemon directly.  `clock` is
+  the store's clock, `age_by_table` has the ages of the tables for which peers
+  exchange confirmations.
   """
 
   def __init__(
@@ -60,62 +63,62 @@
     self._members = members
     self._links = links
     self._has_store = has_store
-    self._told = asyncio.Event()
+    self._newer_available = asyncio.Event()
     for item in feeds:
-      item.leads = self._make_leads(item.table)
+      item.leads = self._make_leader_check(item.table)
       item.on_change = members.send_beats
 
   def get_versions(self) -> dict[str, int]:
-    """Returns the newest change known of each table."""
+    """Returns the version of the newest known change of each table."""
     return {table: f.changed for table, f in self._feed_by_table.items()}
 
   # --- Who follows the store ------------------------------------------------
 
-  def _make_leads(self, table: str) -> Callable[[], bool]:
+  def _make_leader_check(self, table: str) -> Callable[[], bool]:
     return lambda: self.leads(table)
 
   def leads(self, table: str) -> bool:
     """Returns whether this daemon should follow a table in the store.
 
-    Where nobody in the domain has the store, each looks for a way itself.
+    If no daemon in the domain can reach the store, each daemon tries itself.
     """
     me = self._members.me
     ranked = self._members.rank(f'feed/{table}', me.domain)
-    able = [member for member in ranked if self._is_able(member)]
-    return not able or me in able[:LEADERS]
+    eligible = [member for member in ranked if self._can_follow(member)]
+    return not eligible or me in eligible[:LEADERS_PER_DOMAIN]
 
-  def _is_able(self, member: beats.Member) -> bool:
+  def _can_follow(self, member: beats.Member) -> bool:
     if member == self._members.me:
       return self._has_store()
     return self._members.may_have_store(member.name)
 
-  # --- What others have -----------------------------------------------------
+  # --- Exchange with other daemons ------------------------------------------
 
   def take_beat(self, beat: beats.Beat) -> None:
-    """Takes note of what a peer has."""
+    """Wakes the catch-up task if a peer has newer changes."""
     if any(
-      beat.feeds.get(table, -1) > _get_known(item)
+      beat.feeds.get(table, -1) > _get_version(item)
       for table, item in self._feed_by_table.items()
     ):
-      self._told.set()
+      self._newer_available.set()
 
   @mode.Service.task
   async def _catch_up(self) -> None:
     while not self.should_stop:
       with contextlib.suppress(TimeoutError):
-        rest = ticks.get_rest(LOOK_SECONDS, now=time.monotonic())
-        async with asyncio.timeout(rest):
-          await self._told.wait()
-      self._told.clear()
+        delay = ticks.get_rest(CATCH_UP_INTERVAL_SECONDS, now=time.monotonic())
+        async with asyncio.timeout(delay):
+          await self._newer_available.wait()
+      self._newer_available.clear()
       for table, item in self._feed_by_table.items():
-        source = self._find_source(table, _get_known(item))
+        source = self._find_source(table, _get_version(item))
         if source is not None:
-          await self._ask(item, source)
+          await self._fetch(item, source)
 
   def _find_source(self, table: str, known: int) -> beats.Member | None:
-    mine = self._members.me.domain
+    own_domain = self._members.me.domain
     ahead = [
-      (heard.beat.domain == mine, heard.beat.feeds.get(table, -1), name)
+      (heard.beat.domain == own_domain, heard.beat.feeds.get(table, -1), name)
       for name, heard in self._members.heard_by_name.items()
       if heard.beat.feeds.get(table, -1) > known
       and self._members.is_alive(name)
@@ -124,64 +127,71 @@
       return None
     return self._members.member_by_name.get(max(ahead)[2])
 
-  async def _ask(self, item: feed.Feed, source: beats.Member) -> None:
+  async def _fetch(self, item: feed.Feed, source: beats.Member) -> None:
     began = time.monotonic()
     try:
-      found = await self._links.post(
+      reply = await self._links.post(
         source.address,
         'feed',
         turn_messages.AskFeed(table=item.table, after=item.version),
         type=turn_messages.FeedCopy,
-        timeout=ASK_SECONDS,
+        timeout=FETCH_TIMEOUT_SECONDS,
       )
     except errors.WoadrunError as error:
-      log.info('No %s from %s: %s', item.table, source.name, error.message)
+      log.info(
+        'Cannot fetch table %s from %s: %s',
+        item.table,
+        source.name,
+        error.message,
+      )
       return
-    if found.version is None:
+    if reply.version is None:
       return
     log.info(
-      '%d rows of %s up to %d, from %s; known were %s.',
-      len(found.rows),
+      'Received %d rows of %s up to version %d from %s; known version was %s.',
+      len(reply.rows),
       item.table,
-      found.version,
+      reply.version,
       source.name,
       item.version,
     )
     is_changed = item.take_changes(
       feed.Changes(
-        rows=tuple(store_access.get_row(row) for row in found.rows),
-        version=found.version,
-        is_list=found.is_list,
-        regained=found.regained if self._shares_outage(source) else None,
-        is_lost=found.is_lost,
+        rows=tuple(store_access.get_row(row) for row in reply.rows),
+        version=reply.version,
+        is_list=reply.is_list,
+        regained=reply.regained if self._shares_outage(source) else None,
+        is_lost=reply.is_lost,
       )
     )
-    self._take_confirmation(found, item.table, began)
-    # Who follows the store tells its peers, or its hubs, which tell the rest.
-    # Told by all who learned of it, a change cost datagrams of each daemon.
+    self._record_confirmation(reply, item.table, began)
+    # Daemons that follow the store announce a change to their peers, or to
+    # hubs, which announce it to the others.  When all daemons announced it,
+    # each change cost datagrams of each daemon.
     if is_changed and self._members.is_hub:
       self._members.send_beats()
 
-  def _take_confirmation(
-    self, found: turn_messages.FeedCopy, table: str, began: float
+  def _record_confirmation(
+    self, reply: turn_messages.FeedCopy, table: str, began: float
   ) -> None:
-    if found.clock is not None:
+    if reply.clock is not None:
       ended = time.monotonic()
-      self._clock.note_bounds(found.clock, began=began, ended=ended)
+      self._clock.note_bounds(reply.clock, began=began, ended=ended)
     age = self._age_by_table.get(table)
-    if age and found.confirmed is not None and found.version is not None:
-      age.take(found.confirmed, found.version)
+    if age and reply.confirmed is not None and reply.version is not None:
+      age.take(reply.confirmed, reply.version)
 
   def _shares_outage(self, source: beats.Member) -> bool:
-    """Returns whether the store was lost here when a peer had lost it.
+    """Returns whether an outage of the store at a peer applies here as well.
 
-    A domain that was cut off has the store again; others had it all the time,
-    and kept entries that were removed just then as if they had lapsed.
+    A peer in another domain may have been cut off from the store while this
+    daemon had contact all the time.  When its outage was adopted here, entries
+    removed just after it were kept as if they had expired in an outage.
     """
     return source.domain == self._members.me.domain or not self._has_store()
 
   async def answer(self, ask: turn_messages.AskFeed) -> turn_messages.FeedCopy:
-    """Returns what this daemon has of a table."""
+    """Returns the changes of a table after the version that a peer has."""
     item = self._feed_by_table.get(ask.table)
     changes = item.find_changes(ask.after) if item else None
     if changes is None:
@@ -198,5 +208,5 @@
     )
 
 
-def _get_known(item: feed.Feed) -> int:
+def _get_version(item: feed.Feed) -> int:
   return -1 if item.version is None else item.version
--- a/src/woadrun/process/health.py
+++ b/src/woadrun/process/health.py
@@ -139,7 +139,7 @@
     `take_sum` subtracts them from the sum of the domain.  Records of instances
     without failures are dropped.
     """
-    self._last_report = self.get_own()
+    self._last_report = self.get_own_failures()
     self._record_by_id = {
       id: record
       for id, record in self._record_by_id.items()
@@ -147,18 +147,20 @@
     }
     return self._last_report
 
-  def get_own(self) -> dict[str, float]:
+  def get_own_failures(self) -> dict[str, float]:
     """Returns the failures that this daemon saw itself, by instance."""
     now = time.monotonic()
-    seen = {id: self._count_own(id, now) for id in self._find_own()}
+    seen = {
+      id: self._count_own_failures(id, now) for id in self._find_own_failing()
+    }
     return {id: failures for id, failures in seen.items() if failures}
 
-  def _find_own(self) -> set[str]:
+  def _find_own_failing(self) -> set[str]:
     """Returns the instances at which this daemon may have seen failures."""
     pending = (item.id for item in self._pending_by_request.values())
     return {*self._record_by_id, *pending}
 
-  def _count_own(self, id: str, now: float) -> float:
+  def _count_own_failures(self, id: str, now: float) -> float:
     """Returns the failures that this daemon saw at an instance.
 
     Returns 0 if there are fewer than MIN_REPORTED_FAILURES.
@@ -195,7 +197,7 @@
       for at, failing in self._report_by_source.values()
       if now - at < PEER_REPORT_TTL_SECONDS
     )
-    total = self._count_own(id, now) + sum(reported)
+    total = self._count_own_failures(id, now) + sum(reported)
     return max(0.0, min(MAX_FAILURES, total) - TOLERATED_FAILURES)
 
   def get_all(self) -> dict[str, float]:
@@ -203,7 +205,9 @@
     reported = (
       id for _, failing in self._report_by_source.values() for id in failing
     )
-    effective = {id: self.get(id) for id in {*self._find_own(), *reported}}
+    effective = {
+      id: self.get(id) for id in {*self._find_own_failing(), *reported}
+    }
     return {id: failures for id, failures in effective.items() if failures}
 
   def log_changes(self) -> None:
--- a/src/woadrun/process/node.py
+++ b/src/woadrun/process/node.py
@@ -1,7 +1,7 @@
-"""One daemon on a platform that tells it routes and upstreams by feeds.
+"""One daemon on a platform that provides routes and upstreams through feeds.
 
-The daemon holds nothing that must last.  What is particular to a platform
-is handed in: its store, how requests reach instances, how its rows read.
+The daemon holds no durable state.  The platform-specific parts are injected:
+the store, the transport of requests to instances, and the decoding of rows.
 """
 
 from __future__ import annotations
@@ -53,35 +53,39 @@
 
 log = logging.getLogger('woadrun.node')
 
-# Connections to peers, the store and upstreams; descriptors are bounded.
+# Limit of the connections to peers, the store and upstreams, because file
+# descriptors are limited.
 MOST_CONNECTIONS = 3000
-# A connection to an upstream that rested so long is not used again, in
-# seconds: one that the upstream is just closing loses a request.
+# Keep-alive timeout of an idle connection to an upstream.  A request on a
+# connection that the upstream is just closing is lost.
 REUSE_SECONDS = 4.0
-# Until a call of the store counts as lost, in seconds.  A store that takes
-# longer than this is of less use to a turn than the standby's word.
+# Timeout of a call of the store.  A turn gains less from a store that takes
+# longer than from the acknowledgement of the standby.
 STORE_SECONDS = 0.8
-# The balancer asks every second and takes a daemon out after two misses.
-UNREADY_SECONDS = 2.5
-# Before the platform kills the process, in seconds.
+# Delay before listeners close at a planned stop: the load balancer checks
+# readiness every second and removes a daemon after two failed checks.
+DRAIN_DELAY_SECONDS = 2.5
+# Margin before the platform kills the process.
 KILL_MARGIN_SECONDS = 0.3
-# For what the store lacks at the end of a planned stop, in seconds.
-FLUSH_SECONDS = 0.5
-POLL_SECONDS = 0.05
-# Largest message between daemons, in bytes: a long history.
-PEER_BYTES = 64 * 1024 * 1024
-LOOK_SECONDS = 1.0
-# Messages between daemons carry turns as bytes, which JSON makes a third
-# larger.
+# Time for storing unsaved turns at the end of a planned stop.
+FLUSH_TIMEOUT_SECONDS = 0.5
+FLUSH_RETRY_DELAY_SECONDS = 0.05
+# Maximum size of a message between daemons, enough for a long history.
+MAX_PEER_MESSAGE_BYTES = 64 * 1024 * 1024
+CLEANUP_INTERVAL_SECONDS = 1.0
+# Codec of messages between daemons.  They carry turns as bytes, which JSON
+# would enlarge by a third.
 CODEC = msgspec.msgpack
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NodeSettings:
-  """Where the daemon stands; addresses are IP:PORT, times in seconds.
+  """Location and limits of the daemon.
 
-  `revocation` is how long a key may be used after it was revoked, by daemons
-  out of touch as well; None where that is not bounded.
+  Addresses are IP:PORT, times in seconds.  `row_bytes` is the maximum size of a
+  row.  `grace` is the time from the start of a planned stop until the platform
+  kills the process.  `revocation` is the time for which a key may be used after
+  it was revoked, also by daemons that are cut off; None if that is not bounded.
   """
 
   name: str
@@ -97,10 +101,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Binding:
-  """What a platform adapter provides.
+  """The parts that a platform adapter provides.
 
-  `grace` is how long an instance's entry that lapsed while the store was
-  away may take to come back, in seconds.
+  `grace` is the time in seconds within which an instance whose entry expired
+  while the store was unavailable may register again.
   """
 
   addresses: fresh.Addresses
@@ -117,7 +121,7 @@
 
 
 class Node(mode.Service):
-  """All parts of one process."""
+  """The services of one daemon process."""
 
   def __init__(
     self,
@@ -218,14 +222,14 @@
     )
     self._handler_by_path.update(
       (path, peer_messages.make_handler(type, answer, codec=CODEC))
-      for path, type, answer in self._get_answers()
+      for path, type, answer in self._list_handlers()
     )
     self.sweeper = sweeper.Sweeper(store=self.store, members=self.fleet)
     self.counters.add_gauges(self._read_gauges)
     self._runner: web.ServerRunner | None = None
 
   async def on_start(self) -> None:
-    """Listens to peers and begins to follow the platform."""
+    """Starts listening for peers and following the platform."""
     await self._listen()
     for part in (
       self.store,
@@ -238,10 +242,12 @@
       self.sweeper,
     ):
       await self.add_runtime_dependency(part)
-    log.info('Started %s in %s.', self.config.name, self.config.domain)
+    log.info(
+      'Started daemon %s in domain %s.', self.config.name, self.config.domain
+    )
 
   async def on_shutdown(self) -> None:
-    """Closes the listener to peers."""
+    """Closes the listener for peers."""
     if self._runner is not None:
       await self._runner.cleanup()
 
@@ -251,15 +257,16 @@
     return self.fleet.is_leaving
 
   def is_ready(self) -> bool:
-    """Returns whether new callers are welcome."""
+    """Returns whether the daemon accepts new requests."""
     return self.catalogue.is_known and not self.is_leaving
 
   def _get_outage(self) -> float:
     return max(self.store.outage, self.fleet.get_silence())
 
   def _is_cut_off(self, domain: str) -> bool:
-    # On the side that has the store an instance behind a cut may be well, and
-    # its callers decide how long they wait.
+    # A daemon that can reach the store keeps waiting for an instance in a
+    # domain that is cut off: the instance may be healthy, and its callers
+    # decide how long to wait.
     return not self.store.is_reached and self.fleet.is_silent(domain)
 
   def _read_gauges(self) -> dict[str, float]:
@@ -300,7 +307,7 @@
 
   def _take_beat(self, beat: beats.Beat) -> None:
     if self.fleet.is_mesh:
-      # In large fleets digests have the sums.
+      # In large fleets, digests carry the sums.
       self.loads.take_beat(beat)
     elif beat.elsewhere is not None:
       self.loads.take_elsewhere(beat.elsewhere)
@@ -314,27 +321,27 @@
       self.catalogue.age.take(*digest.confirmed)
 
   @mode.Service.task
-  async def _forget_often(self) -> None:
+  async def _clean_up_periodically(self) -> None:
     while not self.should_stop:
-      await ticks.sleep(LOOK_SECONDS)
+      await ticks.sleep(CLEANUP_INTERVAL_SECONDS)
       self.loads.forget(self.catalogue.directory.get_lives())
       self.loads.health.log_changes()
 
   # --- Messages of peers ----------------------------------------------------
 
   async def _listen(self) -> None:
-    # Paths are few and fixed: the library's routing and middleware would only
-    # add to each message.
+    # Paths are few and fixed, so that the routing and middleware of aiohttp
+    # would only add overhead to each message.
     server = web.Server(
       _make_dispatcher(self._handler_by_path),
       access_log=None,
-      request_factory=make_request_factory(PEER_BYTES),
+      request_factory=make_request_factory(MAX_PEER_MESSAGE_BYTES),
     )
     self._runner = web.ServerRunner(server)
     await self._runner.setup()
     await listen(self._runner, self.config.peers_address)
 
-  def _get_answers(self) -> list[tuple[str, Any, Handler]]:
+  def _list_handlers(self) -> list[tuple[str, Any, Handler]]:
     intake = self.programs.intake
     return [
       ('program/open', turn_messages.OpenTurn, self.programs.open),
@@ -367,33 +374,40 @@
   # --- Stopping -------------------------------------------------------------
 
   async def leave(self) -> None:
-    """Returns once no new callers come: listeners may close then."""
+    """Starts a planned stop; returns when listeners may be closed.
+
+    The load balancer sends no new requests then.
+    """
     self.fleet.is_leaving = True
     started = time.monotonic()
-    log.info('Leaving with %d requests running.', self.serving.active)
+    log.info(
+      'Planned stop started with %d running requests.', self.serving.active
+    )
     self.fleet.send_beats()
     await self.programs.hand_over()
     try:
       await self.registration.unregister()
     except errors.WoadrunError as error:
-      log.warning('Still registered: %s', error.message)
-    rest = started + UNREADY_SECONDS - time.monotonic()
-    await asyncio.sleep(max(0.0, rest))
+      log.warning('Cannot unregister: %s', error.message)
+    delay = started + DRAIN_DELAY_SECONDS - time.monotonic()
+    await asyncio.sleep(max(0.0, delay))
 
   async def finish(self) -> None:
-    """Brings to the store what it lacks, after the last request."""
-    deadline = time.monotonic() + FLUSH_SECONDS
+    """Flushes unsaved turns to the store after the last request."""
+    deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
     while (
       not await self.programs.flusher.flush() and time.monotonic() < deadline
     ):
-      await asyncio.sleep(POLL_SECONDS)
-    log.info('Left with %d turns unsaved.', len(self.programs.unsaved))
+      await asyncio.sleep(FLUSH_RETRY_DELAY_SECONDS)
+    log.info(
+      'Planned stop finished with %d unsaved turns.', len(self.programs.unsaved)
+    )
 
 
 def get_finish_seconds(config: NodeSettings) -> float:
-  """Returns how long running requests may take at a planned stop."""
-  used = UNREADY_SECONDS + FLUSH_SECONDS + KILL_MARGIN_SECONDS
-  return max(0.0, config.grace - used)
+  """Returns the seconds for running requests to finish at a planned stop."""
+  reserved = DRAIN_DELAY_SECONDS + FLUSH_TIMEOUT_SECONDS + KILL_MARGIN_SECONDS
+  return max(0.0, config.grace - reserved)
 
 
 async def listen(runner: web.BaseRunner, address: str) -> None:
@@ -402,8 +416,8 @@
   await web.TCPSite(runner, host, port, reuse_address=True).start()
 
 
-def make_request_factory(most: int) -> Callable[..., web.BaseRequest]:
-  """Returns the library's own factory, with a bound of a body in bytes."""
+def make_request_factory(max_bytes: int) -> Callable[..., web.BaseRequest]:
+  """Returns the request factory of aiohttp with a maximum body size."""
 
   def make(*parts: Any) -> web.BaseRequest:
     message, payload, protocol, writer, task = parts
@@ -414,7 +428,7 @@
       writer,
       task,
       asyncio.get_running_loop(),
-      client_max_size=most,
+      client_max_size=max_bytes,
     )
 
   return make
--- a/src/woadrun/process/store_access.py
+++ b/src/woadrun/process/store_access.py
@@ -1,7 +1,7 @@
-"""The row store as one daemon reaches it: itself, or through a peer.
+"""Access of one daemon to the row store, directly or relayed by a peer.
 
-The store may turn single VMs away while it serves the others.  A peer that
-it serves then makes the call.
+The store may refuse single VMs while it serves the others.  A peer that the
+store serves then relays the calls of a refused VM.
 """
 
 from __future__ import annotations
@@ -35,42 +35,44 @@
 
 T = TypeVar('T', rows.Page, rows.Outcome)
 
-# A write that takes longer holds a turn up more than the standby does, in
-# seconds: a store in good order takes a tenth of it.
-SLOW_SECONDS = 0.1
-# Who can do without a write takes it for lost after so long, in seconds, before
-# it is: as the store went silent, callers gave up turns that waited for longer.
-HANGING_SECONDS = 0.3
-# Weight of the newest write in the time that writes take.
-LEARN_WEIGHT = 0.3
-# Between looks whether the store serves this VM again, in seconds.
-PROBE_SECONDS = 0.25
-# Until a look counts as failed, in seconds: a store that answers more slowly
-# would hold up each turn for longer than a turn takes.
+# A write that takes longer than this delays a turn more than the standby does.
+# A healthy store takes a tenth of this time.
+SLOW_WRITE_SECONDS = 0.1
+# Age of an unanswered write from which the store counts as unresponsive, before
+# the write times out, for operations that can go on without the store: when the
+# store stopped responding, callers cancelled turns that waited for longer.
+STALLED_WRITE_SECONDS = 0.3
+# Weight of the newest write in the moving average of write times.
+EWMA_WEIGHT = 0.3
+# Interval between probes of whether the store serves this VM again.
+PROBE_INTERVAL_SECONDS = 0.25
+# Timeout of a probe: a store that responds more slowly would delay each turn by
+# more than the duration of a turn.
 PROBE_TIMEOUT_SECONDS = 0.6
-# How long a call that is over the store's rate waits, in seconds, evenly drawn
-# so that refused calls do not come back together; the rate is counted by the
-# second, and most of a second is left when a burst ends.
-PACE_SECONDS = (0.05, 0.25)
-# Peers asked for one call.
-MOST_RELAYS = 2
-# Until a peer that makes a call counts as without the store, in seconds: one
-# that has it answers in some ten milliseconds.  As a store goes silent for all,
-# peers still say that they have it, and the ends of turns waited for each of
-# them.
-RELAY_SECONDS = 0.4
-# After that no peer is asked for so long, in seconds: until the next datagrams
-# tell who has the store.
-NO_RELAY_SECONDS = 0.5
-# How long a relayed feed waits for changes, in seconds: a peer that cannot
-# be reached any more is found out that much later.
-RELAYED_WAIT_SECONDS = 0.5
+# Range of the delay before a call that exceeded the store's rate limit is
+# retried, drawn uniformly so that refused calls are not all retried at once.
+# The rate is counted per second, and most of a second is left when a burst
+# ends.
+RATE_LIMIT_DELAY_SECONDS = (0.05, 0.25)
+# Number of peers that are tried for one call.
+MAX_RELAYS = 2
+# Timeout of a relayed call: a peer that can reach the store responds within
+# some ten milliseconds.  When the store stops responding to all VMs, peers
+# still announce that they can reach it, and each such peer delays the ends of
+# turns by this timeout.
+RELAY_TIMEOUT_SECONDS = 0.4
+# Time for which no call is relayed after all tried peers failed, until the next
+# datagrams announce who can reach the store.
+RELAY_BACKOFF_SECONDS = 0.5
+# Time for which a relayed call waits for changes of a feed.  The detection of
+# an unreachable peer is delayed by as much.
+RELAY_POLL_TIMEOUT_SECONDS = 0.5
 
 
 class StoreAccess(mode.Service):
-  """A row store that goes on through peers while it is out of reach.
+  """A row store whose calls are relayed by peers while it is unreachable.
 
-  `store_time` learns the store's clock from its answers.
+  `store_time` records the store's clock from its responses.
   """
 
   def __init__(
@@ -86,60 +88,67 @@
     self._links = links
     self._fleet: fleet.Fleet | None = None
     self.is_direct = False
-    # In the order in which they began.
-    self._scopes: dict[asyncio.Timeout, None] = {}
-    self._begun: dict[object, float] = {}
-    self._seconds = 0.0
-    self._no_way_since: float | None = None
-    self._no_relay_until = -math.inf
+    # Timeouts of the running calls, in the order in which the calls began.
+    self._running_timeouts: dict[asyncio.Timeout, None] = {}
+    self._write_started_at: dict[object, float] = {}
+    self._mean_write_seconds = 0.0
+    self._unreachable_since: float | None = None
+    self._relay_backoff_until = -math.inf
 
   def use_fleet(self, members: fleet.Fleet) -> None:
-    """Tells whose help can be asked for."""
+    """Sets the fleet whose members may relay calls."""
     self._fleet = members
 
   @property
   def is_reached(self) -> bool:
-    """Whether a call now has a way to the store."""
+    """Whether the store can be reached now, directly or through a peer."""
     if self.is_direct:
       return True
-    if self._fleet is None or time.monotonic() < self._no_relay_until:
+    if self._fleet is None or time.monotonic() < self._relay_backoff_until:
       return False
     return self._fleet.has_one_with_store()
 
   @property
   def outage(self) -> float:
-    """For how long there has been no way to the store, in seconds."""
-    if self._no_way_since is None or self.is_reached:
+    """Seconds for which the store has been unreachable, 0 if reachable."""
+    if self._unreachable_since is None or self.is_reached:
       return 0.0
-    return time.monotonic() - self._no_way_since
+    return time.monotonic() - self._unreachable_since
 
   @property
   def is_slow(self) -> bool:
-    """Whether a write now would hold a turn up."""
-    return self._seconds > SLOW_SECONDS or self._get_wait() > SLOW_SECONDS
+    """Whether a write now would delay a turn."""
+    return (
+      self._mean_write_seconds > SLOW_WRITE_SECONDS
+      or self._get_oldest_write_age() > SLOW_WRITE_SECONDS
+    )
 
   @property
   def has_answers(self) -> bool:
-    """Whether the store serves this VM and leaves no write waiting for long."""
-    return self.is_direct and self._get_wait() < HANGING_SECONDS
+    """Whether the store serves this VM and no write has waited for long."""
+    return (
+      self.is_direct and self._get_oldest_write_age() < STALLED_WRITE_SECONDS
+    )
 
-  def _get_wait(self) -> float:
-    """Returns for how long the oldest write has waited, in seconds."""
-    oldest = min(self._begun.values(), default=math.inf)
+  def _get_oldest_write_age(self) -> float:
+    """Returns the seconds since the oldest running write began."""
+    oldest = min(self._write_started_at.values(), default=math.inf)
     return time.monotonic() - oldest
 
   @contextlib.contextmanager
   def clock(self) -> Iterator[None]:
-    """Returns a context that takes the time of a write to the store."""
+    """Returns a context that measures the duration of a write."""
     began = time.monotonic()
     call = object()
-    self._begun[call] = began
+    self._write_started_at[call] = began
     try:
       yield
     finally:
-      del self._begun[call]
-      took = time.monotonic() - began
-      self._seconds += LEARN_WEIGHT * (took - self._seconds)
+      del self._write_started_at[call]
+      elapsed = time.monotonic() - began
+      self._mean_write_seconds += EWMA_WEIGHT * (
+        elapsed - self._mean_write_seconds
+      )
 
   # --- The interface of a row store -----------------------------------------
 
@@ -150,15 +159,15 @@
     removes: Sequence[rows.Key] = (),
     conditions: Sequence[tuple[rows.Key, int]] = (),
   ) -> rows.Outcome:
-    """Returns what became of an all-or-nothing change of one part.
+    """Returns the outcome of an atomic change of one part.
 
-    A change whose answer was lost may be tried again through a peer: its
-    conditions then show that it was done.
+    A change whose response was lost may be retried through a peer: its
+    conditions then show that it was already applied.
     """
     message = turn_messages.StoreChange(
-      writes=tuple(_name(key, value=value) for key, value in writes),
-      removes=tuple(_name(key) for key in removes),
-      conditions=tuple(_name(key, version=v) for key, v in conditions),
+      writes=tuple(_make_row(key, value=value) for key, value in writes),
+      removes=tuple(_make_row(key) for key in removes),
+      conditions=tuple(_make_row(key, version=v) for key, v in conditions),
     )
 
     async def call() -> rows.Outcome:
@@ -168,7 +177,7 @@
         )
 
     async def relay(peer: beats.Member) -> rows.Outcome:
-      page = await self._ask(peer, 'store/change', message)
+      page = await self._call_peer(peer, 'store/change', message)
       found = tuple(get_row(row) for row in page.rows)
       return rows.Outcome(
         is_done=page.is_done,
@@ -182,7 +191,7 @@
   async def read(
     self, table: str, part: str, *, first: str = '', end: str = ''
   ) -> rows.Page:
-    """Returns the rows with names from `first` up to, without, `end`."""
+    """Returns the rows with names from `first` to `end`, without `end`."""
     message = turn_messages.StoreRead(
       table=table, part=part, first=first, end=end
     )
@@ -191,14 +200,18 @@
       return await self.direct.read(table, part, first=first, end=end)
 
     async def relay(peer: beats.Member) -> rows.Page:
-      page = await self._ask(peer, 'store/read', message)
-      return _get_page(page)
+      page = await self._call_peer(peer, 'store/read', message)
+      return _decode_page(page)
 
     return await self._run(call, relay)
 
   async def follow(self, table: str, *, after: int, wait: float) -> rows.Page:
-    """Returns the changes after a version, as soon as there are any."""
-    wait_relayed = min(wait, RELAYED_WAIT_SECONDS)
+    """Returns the changes after a version as soon as there are any.
+
+    Returns no changes if there were none within `wait` seconds.  Raises
+    `HistoryGone` if the store no longer has the history since that version.
+    """
+    wait_relayed = min(wait, RELAY_POLL_TIMEOUT_SECONDS)
     message = turn_messages.StoreFollow(
       table=table, after=after, wait=wait_relayed
     )
@@ -207,14 +220,16 @@
       return await self.direct.follow(table, after=after, wait=wait)
 
     async def relay(peer: beats.Member) -> rows.Page:
-      page = await self._ask(peer, 'store/follow', message, wait=wait_relayed)
+      page = await self._call_peer(
+        peer, 'store/follow', message, wait=wait_relayed
+      )
       if page.is_history_gone:
         raise rows.HistoryGone(table)
-      return _get_page(page)
+      return _decode_page(page)
 
     return await self._run(call, relay)
 
-  # --- Ways to the store ----------------------------------------------------
+  # --- Direct and relayed calls ---------------------------------------------
 
   async def _run(
     self,
@@ -222,27 +237,30 @@
     relay: Callable[[beats.Member], Awaitable[T]],
   ) -> T:
     failure = errors.WoadrunError(
-      errors.Code.PLATFORM_UNAVAILABLE, 'No way to the store.', retry_after=1.0
+      errors.Code.PLATFORM_UNAVAILABLE,
+      'The store is unreachable, both directly and through peers.',
+      retry_after=1.0,
     )
-    # Without a way nothing is tried: a call that waits for its timeout would
-    # hold its caller up, and the probe finds out when the store is back.
+    # No direct call is made while the store does not serve this VM: the timeout
+    # of the call would delay the caller, and the probe detects when the store
+    # serves this VM again.
     if self.is_direct:
       try:
-        result = await self._call_timed(lambda: self._call_paced(call))
-        self._note(None)
+        result = await self._call_timed(lambda: self._call_with_retry(call))
+        self._update_status(None)
         return result
       except errors.WoadrunError as error:
-        self._note(error)
+        self._update_status(error)
         failure = error
-    peers_with_store = self._find_relays()[:MOST_RELAYS]
+    peers_with_store = self._find_relays()[:MAX_RELAYS]
     for peer in peers_with_store:
       try:
         return await self._call_timed(functools.partial(relay, peer))
       except errors.WoadrunError as error:
         failure = error
     if peers_with_store:
-      log.info('No peer has a way to the store: %s', failure.message)
-      self._no_relay_until = time.monotonic() + NO_RELAY_SECONDS
+      log.info('No peer could relay a call to the store: %s', failure.message)
+      self._relay_backoff_until = time.monotonic() + RELAY_BACKOFF_SECONDS
     raise failure
 
   async def _call_timed(self, call: Callable[[], Awaitable[T]]) -> T:
@@ -253,50 +271,53 @@
       self._store_time.note(result.clock, began=began, ended=ended)
     return result
 
-  async def _call_paced(self, call: Callable[[], Awaitable[T]]) -> T:
-    """Returns what a call gives, tried twice where it is over the rate.
+  async def _call_with_retry(self, call: Callable[[], Awaitable[T]]) -> T:
+    """Returns the result of a call, retried once if it exceeds the rate limit.
 
-    The rate is that of all daemons together: a peer would be refused as well,
-    and one refusal does not mean that the store turns this VM away.
+    The limit applies to all daemons together: a peer would be refused as well,
+    and a single refusal does not mean that the store refuses this VM.
     """
     try:
-      return await self._call(call)
+      return await self._call_abortable(call)
     except http.OverRate as error:
-      log.info('A call of the store waits: %s', error.message)
-      await asyncio.sleep(random.uniform(*PACE_SECONDS))
-      return await self._call(call)
+      log.info('Retrying a call of the store after a delay: %s', error.message)
+      await asyncio.sleep(random.uniform(*RATE_LIMIT_DELAY_SECONDS))
+      return await self._call_abortable(call)
 
-  async def _call(self, call: Callable[[], Awaitable[T]]) -> T:
-    """Returns what a call gives, unless another one finds the store lost."""
-    scope = asyncio.timeout(None)
+  async def _call_abortable(self, call: Callable[[], Awaitable[T]]) -> T:
+    """Returns the result of a call.
+
+    Raises `WoadrunError` if another call finds the store unreachable meanwhile.
+    """
+    timeout_scope = asyncio.timeout(None)
     try:
-      async with scope:
-        self._scopes[scope] = None
+      async with timeout_scope:
+        self._running_timeouts[timeout_scope] = None
         return await call()
     except TimeoutError as error:
-      if not scope.expired():
+      if not timeout_scope.expired():
         raise
       raise errors.WoadrunError(
         errors.Code.PLATFORM_UNAVAILABLE,
-        'The store was lost while it was asked.',
+        'Contact with the store was lost during the call.',
         ran=errors.Ran.UNKNOWN,
         retry_after=1.0,
       ) from error
     finally:
-      self._scopes.pop(scope, None)
+      self._running_timeouts.pop(timeout_scope, None)
 
-  def _end_calls(self) -> None:
+  def _abort_calls(self) -> None:
     now = asyncio.get_running_loop().time()
-    for scope in self._scopes:
-      scope.reschedule(now)
-    self._scopes.clear()
+    for timeout_scope in self._running_timeouts:
+      timeout_scope.reschedule(now)
+    self._running_timeouts.clear()
 
   def _find_relays(self) -> list[beats.Member]:
-    if self._fleet is None or time.monotonic() < self._no_relay_until:
+    if self._fleet is None or time.monotonic() < self._relay_backoff_until:
       return []
     return self._fleet.find_with_store()
 
-  async def _ask(
+  async def _call_peer(
     self,
     peer: beats.Member,
     path: str,
@@ -309,10 +330,10 @@
       path,
       message,
       type=turn_messages.StorePage,
-      timeout=wait + RELAY_SECONDS,
+      timeout=wait + RELAY_TIMEOUT_SECONDS,
     )
 
-  def _note(self, error: errors.WoadrunError | None) -> None:
+  def _update_status(self, error: errors.WoadrunError | None) -> None:
     if error is None:
       if not self.is_direct:
         log.info('The store serves this VM.')
@@ -320,53 +341,53 @@
     elif self.is_direct:
       log.warning('The store does not serve this VM: %s', error.message)
       self.is_direct = False
-      self._end_calls()
+      self._abort_calls()
 
   @mode.Service.task
   async def _probe(self) -> None:
     while not self.should_stop:
       if self.is_reached:
-        self._no_way_since = None
-      elif self._no_way_since is None:
-        self._no_way_since = time.monotonic()
+        self._unreachable_since = None
+      elif self._unreachable_since is None:
+        self._unreachable_since = time.monotonic()
       if not self.is_direct:
-        await self._look()
-      await ticks.sleep(PROBE_SECONDS)
+        await self._probe_once()
+      await ticks.sleep(PROBE_INTERVAL_SECONDS)
 
-  async def _look(self) -> None:
+  async def _probe_once(self) -> None:
     try:
       async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
         await self.direct.read(fleet.TABLE, '', first='~')
-      self._note(None)
+      self._update_status(None)
     except (errors.WoadrunError, TimeoutError) as error:
-      log.debug('Still without the store: %s', error)
+      log.debug('The store still does not serve this VM: %s', error)
 
 
-# --- For peers that the store turns away -------------------------------------
+# --- Relay for peers that the store refuses ----------------------------------
 
 
 class StoreRelay:
-  """Makes calls to the store for peers; never through a third daemon.
+  """Relays calls of peers to the store, always directly.
 
-  It refuses at once while the store leaves this daemon without answers.
+  Calls are refused immediately while the store does not respond to this daemon.
   """
 
   def __init__(self, *, access: StoreAccess) -> None:
     self._access = access
 
-  def _check(self) -> None:
+  def _check_available(self) -> None:
     if not self._access.has_answers:
       raise errors.WoadrunError(
         errors.Code.PLATFORM_UNAVAILABLE,
-        'The store does not answer here either.',
+        'The store does not respond to the relaying daemon either.',
         retry_after=1.0,
       )
 
   async def change(
     self, message: turn_messages.StoreChange
   ) -> turn_messages.StorePage:
-    """Returns the outcome of a change."""
-    self._check()
+    """Returns the outcome of a change made for a peer."""
+    self._check_available()
     with self._access.clock():
       outcome = await self._access.direct.change(
         writes=[(_get_key(row), row.value) for row in message.writes],
@@ -383,28 +404,28 @@
   async def read(
     self, message: turn_messages.StoreRead
   ) -> turn_messages.StorePage:
-    """Returns a range of rows."""
-    self._check()
+    """Returns a range of rows read for a peer."""
+    self._check_available()
     page = await self._access.direct.read(
       message.table, message.part, first=message.first, end=message.end
     )
-    return _put_page(page)
+    return _encode_page(page)
 
   async def follow(
     self, message: turn_messages.StoreFollow
   ) -> turn_messages.StorePage:
-    """Returns changes, or that their history is gone."""
-    self._check()
+    """Returns changes, or a page that says that their history is gone."""
+    self._check_available()
     try:
       page = await self._access.direct.follow(
         message.table, after=message.after, wait=message.wait
       )
     except rows.HistoryGone:
       return turn_messages.StorePage(is_history_gone=True)
-    return _put_page(page)
+    return _encode_page(page)
 
 
-def _name(
+def _make_row(
   key: rows.Key, *, value: bytes = b'', version: int = 0
 ) -> turn_messages.StoreRow:
   return turn_messages.StoreRow(
@@ -417,7 +438,7 @@
 
 
 def get_row(row: turn_messages.StoreRow) -> rows.Row:
-  """Returns the row that a peer handed on."""
+  """Returns the row decoded from a message of a peer."""
   return rows.Row(
     key=_get_key(row),
     value=row.value,
@@ -427,7 +448,7 @@
   )
 
 
-def _get_page(page: turn_messages.StorePage) -> rows.Page:
+def _decode_page(page: turn_messages.StorePage) -> rows.Page:
   found = tuple(get_row(row) for row in page.rows)
   return rows.Page(
     rows=found, version=page.version, is_cut=page.is_cut, clock=page.clock
@@ -435,7 +456,7 @@
 
 
 def put_rows(found: Sequence[rows.Row]) -> tuple[turn_messages.StoreRow, ...]:
-  """Returns rows as they are handed to a peer."""
+  """Returns rows encoded for a message to a peer."""
   return tuple(
     turn_messages.StoreRow(
       table=row.key.table,
@@ -450,7 +471,7 @@
   )
 
 
-def _put_page(page: rows.Page) -> turn_messages.StorePage:
+def _encode_page(page: rows.Page) -> turn_messages.StorePage:
   return turn_messages.StorePage(
     rows=put_rows(page.rows),
     version=page.version,
--- a/src/woadrun/process/store_clock.py
+++ b/src/woadrun/process/store_clock.py
@@ -1,55 +1,61 @@
-"""The row store's steady clock, as far as this daemon knows it.
+"""Estimate of the row store's monotonic clock.
 
-Daemons name moments to each other by readings of the store's clock, since no
-two of them share one.  Each keeps bounds of it from its own round trips.
+Daemons have no common clock.  They exchange times as readings of the store's
+clock, of which each daemon keeps bounds derived from its own round trips.
 """
 
 from __future__ import annotations
 
 import math
 
-# How far two steady clocks may drift apart, in seconds a second.
-DRIFT = 2e-4
+# Maximum drift between two monotonic clocks, in seconds per second.
+MAX_DRIFT = 2e-4
 
 
 class StoreClock:
-  """Bounds of the store's clock; local times are on the monotonic clock."""
+  """Bounds of the store's clock relative to the local monotonic clock."""
 
   def __init__(self) -> None:
-    self._least = -math.inf
-    self._most = math.inf
-    self._at = 0.0
+    self._min_offset = -math.inf
+    self._max_offset = math.inf
+    self._updated_at = 0.0
 
   @property
   def is_known(self) -> bool:
-    """Whether the clock was ever read."""
-    return self._most < math.inf
+    """Whether there has been any reading of the store's clock."""
+    return self._max_offset < math.inf
 
   def note(self, told: float, *, began: float, ended: float) -> None:
-    """Takes note of a reading between two local times."""
+    """Records a reading that was taken between two local times."""
     self.note_bounds((told, told), began=began, ended=ended)
 
   def note_bounds(
     self, told: tuple[float, float], *, began: float, ended: float
   ) -> None:
-    """Takes note of bounds of a reading between two local times."""
-    widened = DRIFT * max(0.0, ended - self._at)
-    least, most = told[0] - ended, told[1] - began
-    self._least = max(self._least - widened, least)
-    self._most = min(self._most + widened, most)
-    if self._least > self._most:
-      # The clock was set anew: only the last reading counts.
-      self._least, self._most = least, most
-    self._at = ended
+    """Records bounds of a reading that was taken between two local times."""
+    drift = MAX_DRIFT * max(0.0, ended - self._updated_at)
+    min_offset, max_offset = told[0] - ended, told[1] - began
+    self._min_offset = max(self._min_offset - drift, min_offset)
+    self._max_offset = min(self._max_offset + drift, max_offset)
+    if self._min_offset > self._max_offset:
+      # The store's clock was reset: earlier readings are void.
+      self._min_offset, self._max_offset = min_offset, max_offset
+    self._updated_at = ended
 
   def get_bounds(self, now: float) -> tuple[float, float] | None:
-    """Returns the least and the most that the clock reads, None if unknown."""
+    """Returns the bounds of the store's clock at a local time.
+
+    Returns None if there was no reading.
+    """
     if not self.is_known:
       return None
-    widened = DRIFT * max(0.0, now - self._at)
-    return now + self._least - widened, now + self._most + widened
+    drift = MAX_DRIFT * max(0.0, now - self._updated_at)
+    return now + self._min_offset - drift, now + self._max_offset + drift
 
   def get_age(self, told: float, now: float) -> float:
-    """Returns the most seconds since a reading, infinity if unknown."""
+    """Returns the upper bound of the seconds since the clock read `told`.
+
+    Returns infinity if there was no reading.
+    """
     bounds = self.get_bounds(now)
     return math.inf if bounds is None else bounds[1] - told
--- a/src/woadrun/process/table_age.py
+++ b/src/woadrun/process/table_age.py
@@ -1,10 +1,10 @@
-"""How old the routing table that a daemon knows can be at most.
+"""Upper bound of the age of a daemon's routing table.
 
-A table says nothing of its own age: a daemon that nobody tells anything would
-go on with it for ever, and with keys that were revoked.  So each table is
-confirmed as of a moment of the store's clock before which no newer change was
-made.  Daemons that follow the store confirm it by their calls, and tell the
-others.
+A table does not contain its own age: a daemon that receives no messages would
+use it forever, with keys that were revoked.  Therefore each table is confirmed
+as of a time on the store's clock before which no newer change was made.
+Daemons that follow the store obtain confirmations by their calls and send them
+to the others.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 
 
 class TableAge:
-  """The newest confirmation of the changes that are known here.
+  """The newest confirmation of the changes known to this daemon.
 
-  `get_version` returns up to which change of the store they are known.
+  `get_version` returns the version of the store up to which the changes are
+  known.  `confirmed` is the time of the confirmation on the store's clock.
   """
 
   def __init__(
@@ -27,33 +28,37 @@
   ) -> None:
     self._clock = clock
     self._get_version = get_version
-    self._read_at = -math.inf
+    self._read_started_at = -math.inf
     self.confirmed = -math.inf
 
   @property
   def is_known(self) -> bool:
-    """Whether there is a confirmation that others understand."""
+    """Whether there is a confirmation on the store's clock, valid for peers."""
     return self.confirmed > -math.inf
 
   def note_read(self, began: float) -> None:
-    """Takes note of an answer of the store to a call that began then.
+    """Records a response of the store to a call that began at a local time.
 
-    The answer may be as old as the call: only its begin is confirmed.
+    The store may have read the table at any time since the call began, so that
+    the table is confirmed only as of its beginning.
     """
-    self._read_at = max(self._read_at, began)
+    self._read_started_at = max(self._read_started_at, began)
     bounds = self._clock.get_bounds(began)
     if bounds is not None:
       self.confirmed = max(self.confirmed, bounds[0])
 
   def take(self, confirmed: float, version: int) -> None:
-    """Takes what a peer tells: no change after `version` before `confirmed`.
+    """Records a confirmation from a peer.
 
-    Ignored while changes up to that version are not known here.
+    It states that no change after `version` was made before `confirmed`.  It is
+    ignored while this daemon does not know the changes up to `version`.
     """
     if self._get_version() >= version:
       self.confirmed = max(self.confirmed, confirmed)
 
   def get(self) -> float:
-    """Returns the seconds since the table was the newest one, at most."""
+    """Returns the most seconds for which the table can have been outdated."""
     now = time.monotonic()
-    return min(now - self._read_at, self._clock.get_age(self.confirmed, now))
+    return min(
+      now - self._read_started_at, self._clock.get_age(self.confirmed, now)
+    )
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""What a daemon believes of routes and instances, by feeds with gaps."""
+"""Routes and instances known to a daemon when its feeds have gaps."""
 
 import asyncio
 import contextlib
@@ -25,20 +25,20 @@
 
 
 async def make_rows():
-  kept = memory.MemoryRows()
+  store = memory.MemoryRows()
   entry = nodes.make_entry()
-  await kept.change(
+  await store.change(
     writes=[
       (TABLE_KEY, msgspec.json.encode(nodes.CONFIG)),
       *((server_key(id), msgspec.json.encode(entry)) for id in ('e1', 'e2')),
     ]
   )
-  return kept
+  return store
 
 
-def make_catalogue(kept, *, grace):
+def make_catalogue(store, *, grace):
   return catalogue.Catalogue(
-    store=kept,
+    store=store,
     table_key=TABLE_KEY,
     instance_table='servers',
     decode_table=operator.decode,
@@ -49,117 +49,121 @@
 
 @contextlib.asynccontextmanager
 async def follow(*, grace=0.4):
-  kept = await make_rows()
-  known = make_catalogue(kept, grace=grace)
+  store = await make_rows()
+  known = make_catalogue(store, grace=grace)
   await known.start()
   await nodes.wait_until(lambda: known.table and known.directory.by_id)
-  yield known, kept
+  yield known, store
   await known.stop()
 
 
-async def test_a_removal_just_after_the_start_is_no_lapse():
-  async with follow(grace=30.0) as (known, kept):
-    await kept.change(removes=[server_key('e1')])
+async def test_an_entry_removed_just_after_the_start_has_no_grace_period():
+  async with follow(grace=30.0) as (known, store):
+    await store.change(removes=[server_key('e1')])
     await nodes.wait_until(lambda: 'e1' not in known.directory.by_id)
 
 
-async def start_late(kept, *, is_lost):
-  """Returns a catalogue that got its first list from another daemon."""
-  known = make_catalogue(kept, grace=30.0)
-  kept.is_out = True
+async def start_late(store, *, is_lost):
+  """Returns a catalogue that got its first list from another daemon.
+
+  `is_lost` says whether that daemon had lost contact with the store.
+  """
+  known = make_catalogue(store, grace=30.0)
+  store.is_out = True
   await known.start()
   feed_of_instances = known.feeds[1]
-  found = [r for k, r in kept.row_by_key.items() if k.table == 'servers']
+  found = [r for k, r in store.row_by_key.items() if k.table == 'servers']
   feed_of_instances.take_changes(
     feed.Changes(
       rows=tuple(found),
-      version=kept.version,
+      version=store.version,
       is_list=True,
       regained=None,
       is_lost=is_lost,
     )
   )
-  kept.is_out = False
+  store.is_out = False
   await nodes.wait_until(lambda: not feed_of_instances.is_lost)
-  await kept.change(removes=[server_key('e1')])
+  await store.change(removes=[server_key('e1')])
   return known
 
 
-async def test_the_first_contact_after_a_list_from_a_peer_is_no_return():
-  kept = await make_rows()
-  known = await start_late(kept, is_lost=False)
+async def test_the_first_contact_after_a_list_from_a_peer_ends_no_outage():
+  store = await make_rows()
+  known = await start_late(store, is_lost=False)
   await nodes.wait_until(lambda: 'e1' not in known.directory.by_id)
   await known.stop()
 
 
-async def test_a_daemon_that_starts_in_an_outage_keeps_what_lapsed():
-  kept = await make_rows()
-  known = await start_late(kept, is_lost=True)
+async def test_a_daemon_that_starts_in_an_outage_keeps_expired_entries():
+  store = await make_rows()
+  known = await start_late(store, is_lost=True)
   await nodes.wait_until(lambda: known.directory.get_missing() == ['e1'])
   assert 'e1' in known.directory.by_id
   await known.stop()
 
 
-async def test_an_entry_that_lapsed_is_kept_no_longer_than_from_the_return():
-  async with follow(grace=1.0) as (known, kept):
-    kept.is_out = True
-    kept.wake_followers()
-    await nodes.wait_until(lambda: known._listed.is_lost)
-    kept.is_out = False
-    await nodes.wait_until(lambda: not known._listed.is_lost)
+async def test_the_grace_period_of_expired_entries_starts_with_the_outage_end():
+  async with follow(grace=1.0) as (known, store):
+    store.is_out = True
+    store.wake_followers()
+    await nodes.wait_until(lambda: known._instance_feed.is_lost)
+    store.is_out = False
+    await nodes.wait_until(lambda: not known._instance_feed.is_lost)
     await asyncio.sleep(0.7)
-    await kept.change(removes=[server_key('e1')])
+    await store.change(removes=[server_key('e1')])
     await nodes.wait_until(lambda: known.directory.get_missing() == ['e1'])
-    regained_at = known._listed.regained_at
+    regained_at = known._instance_feed.regained_at
     assert known.directory.drop_missing(now=regained_at + 0.9) == []
     gone = known.directory.drop_missing(now=regained_at + 1.0)
     assert [instance.id for instance in gone] == ['e1']
 
 
-async def test_a_removal_long_after_an_outage_is_no_lapse():
-  async with follow(grace=1.0) as (known, kept):
-    kept.is_out = True
-    kept.wake_followers()
-    await nodes.wait_until(lambda: known._listed.is_lost)
-    kept.is_out = False
-    await nodes.wait_until(lambda: not known._listed.is_lost)
-    # The feed said so at once, although nothing had changed.
+async def test_an_entry_removed_long_after_an_outage_has_no_grace_period():
+  async with follow(grace=1.0) as (known, store):
+    store.is_out = True
+    store.wake_followers()
+    await nodes.wait_until(lambda: known._instance_feed.is_lost)
+    store.is_out = False
+    await nodes.wait_until(lambda: not known._instance_feed.is_lost)
+    # The feed noticed the end of the outage at once, although nothing changed.
     await asyncio.sleep(1.0)
-    await kept.change(removes=[server_key('e1')])
+    await store.change(removes=[server_key('e1')])
     async with asyncio.timeout(0.8):
       while 'e1' in known.directory.by_id:
         await asyncio.sleep(0.01)
 
 
-async def test_an_entry_that_lapsed_in_an_outage_is_kept_for_a_while():
-  async with follow(grace=0.6) as (known, kept):
-    kept.is_out = True
-    kept.wake_followers()
-    await nodes.wait_until(lambda: known._listed.is_lost)
-    kept.remove_in_outage(server_key('e1'))
-    kept.is_out = False
-    await nodes.wait_until(lambda: not known._listed.is_lost)
+async def test_an_entry_that_expired_in_an_outage_is_kept_for_a_while():
+  async with follow(grace=0.6) as (known, store):
+    store.is_out = True
+    store.wake_followers()
+    await nodes.wait_until(lambda: known._instance_feed.is_lost)
+    store.remove_in_outage(server_key('e1'))
+    store.is_out = False
+    await nodes.wait_until(lambda: not known._instance_feed.is_lost)
     assert 'e1' in known.directory.by_id
     await nodes.wait_until(lambda: 'e1' not in known.directory.by_id)
     assert 'e2' in known.directory.by_id
 
 
-def test_an_instance_that_leaves_as_the_store_returns_is_not_used_for_long():
-  """Requests reached an instance up to 2.8 s after its entry had gone.
+def test_an_instance_that_leaves_just_after_an_outage_is_soon_dropped():
+  """Guards against requests to an instance long after its entry was removed.
 
-  It left 0.06 s after a domain had the store again, and was taken there for one
-  that had lapsed: kept for 2.5 s, and until the next look, "stayed missing and
-  is gone" at 24.95 and 25.08 s after a return at 22.14 s.
+  An instance left 0.06 s after a domain had regained the store and was treated
+  there as one whose entry had expired in the outage.  It was kept for 2.5 s and
+  until the next check, and dropped at 24.95 and 25.08 s after a return of the
+  store at 22.14 s: requests reached it up to 2.8 s after its entry was removed.
   """
 
   async def leave():
-    async with follow(grace=discovery.LAPSE_SECONDS) as (known, kept):
-      kept.is_out = True
-      kept.wake_followers()
-      await nodes.wait_until(lambda: known._listed.is_lost)
-      kept.is_out = False
-      await nodes.wait_until(lambda: not known._listed.is_lost)
-      await kept.change(removes=[server_key('e1')])
+    async with follow(grace=discovery.LAPSE_SECONDS) as (known, store):
+      store.is_out = True
+      store.wake_followers()
+      await nodes.wait_until(lambda: known._instance_feed.is_lost)
+      store.is_out = False
+      await nodes.wait_until(lambda: not known._instance_feed.is_lost)
+      await store.change(removes=[server_key('e1')])
       left_at = time.monotonic()
       await nodes.wait_until(lambda: 'e1' not in known.directory.by_id)
       return time.monotonic() - left_at
@@ -168,7 +172,7 @@
     assert loop.run_until_complete(leave()) < 2.0
 
 
-async def test_an_older_routing_table_is_never_taken():
+async def test_an_older_routing_table_is_never_applied():
   async with follow() as (known, _):
     newer = msgspec.json.encode({**nodes.CONFIG, 'version': 9, 'routes': []})
     known.take_table(newer)
@@ -178,18 +182,18 @@
 
 
 async def test_a_gap_in_the_history_is_closed_by_a_whole_list():
-  async with follow() as (known, kept):
-    kept.history_from = kept.version + 10
-    kept.row_by_key.pop(server_key('e1'))
-    kept.wake_followers()
+  async with follow() as (known, store):
+    store.history_from = store.version + 10
+    store.row_by_key.pop(server_key('e1'))
+    store.wake_followers()
     await nodes.wait_until(lambda: 'e1' not in known.directory.by_id)
 
 
-async def test_what_cannot_be_read_is_left_out_and_the_rest_goes_on():
-  async with follow() as (known, kept):
-    await kept.change(writes=[(server_key('bad'), b'{')])
+async def test_entries_that_cannot_be_decoded_are_skipped():
+  async with follow() as (known, store):
+    await store.change(writes=[(server_key('bad'), b'{')])
     entry = nodes.make_entry()
-    await kept.change(writes=[(server_key('e3'), msgspec.json.encode(entry))])
+    await store.change(writes=[(server_key('e3'), msgspec.json.encode(entry))])
     await nodes.wait_until(lambda: 'e3' in known.directory.by_id)
     assert 'bad' not in known.directory.by_id
 
@@ -199,7 +203,7 @@
     await fleet.start('n1', 'n2')
     await fleet.stop('n2')
     fleet.shared.is_out = True
-    # Its row is still listed: the peer's datagrams find it.
+    # The row of n2 is still listed, so that n1 sends its datagrams there.
     peer = fleet.by_name['n1']
     address = peer.fleet.member_by_name['n2'].address
     late = await fleet.start_alone('n2', address=address)
@@ -207,12 +211,12 @@
     status, _ = await fleet.turn('n2', 'a')
     assert status == 200
     fleet.shared.is_out = False
-    # What the store lists counts from then on.
+    # From now on the changes of the store are applied.
     await fleet.shared.change(removes=[rows.Key('servers', '', 'e2')])
     await nodes.wait_until(lambda: 'e2' not in late.catalogue.directory.by_id)
 
 
-async def test_a_caller_right_after_the_start_waits_for_routes():
+async def test_a_request_right_after_the_start_waits_for_routes():
   async with nodes.Nodes() as fleet:
     fleet.view_by_name['n1'] = nodes.View(fleet.shared)
     fleet.view_by_name['n1'].is_cut = True
@@ -229,24 +233,24 @@
 
 @pytest.mark.parametrize('last', ['op', 'servers'])
 async def test_the_wait_ends_with_whichever_table_comes_last(last):
-  kept = await make_rows()
-  known = make_catalogue(kept, grace=0.4)
+  store = await make_rows()
+  known = make_catalogue(store, grace=0.4)
   known._started_at = time.monotonic()
   waiting = asyncio.ensure_future(known.wait_known())
   for item in sorted(known.feeds, key=lambda item: item.table == last):
     assert not waiting.done()
     await item.read()
-  async with asyncio.timeout(catalogue.START_SECONDS / 2):
+  async with asyncio.timeout(catalogue.STARTUP_TIMEOUT_SECONDS / 2):
     await waiting
 
 
-async def test_a_caller_long_after_the_start_is_refused_at_once():
+async def test_a_request_long_after_the_start_is_refused_at_once():
   async with nodes.Nodes() as fleet:
     fleet.view_by_name['n1'] = nodes.View(fleet.shared)
     fleet.view_by_name['n1'].is_cut = True
     node = await fleet.start_alone('n1')
-    node.catalogue._started_at -= catalogue.START_SECONDS
+    node.catalogue._started_at -= catalogue.STARTUP_TIMEOUT_SECONDS
     with pytest.raises(errors.WoadrunError) as raised:
-      async with asyncio.timeout(catalogue.START_SECONDS / 2):
+      async with asyncio.timeout(catalogue.STARTUP_TIMEOUT_SECONDS / 2):
         await fleet.ask('n1', nodes.make_request('r', path='/look/'))
     assert raised.value.code is errors.Code.CONFIG_UNAVAILABLE
--- a/tests/test_feed_sync.py
+++ b/tests/test_feed_sync.py
@@ -1,4 +1,4 @@
-"""Few daemons follow the store; all know what it tells."""
+"""Distribution of the store's changes from few followers to all daemons."""
 
 import json
 import math
@@ -24,7 +24,7 @@
 
 
 def find_followers(fleet):
-  """Returns the names of daemons that follow instances in the store."""
+  """Returns the names of daemons that follow the store for instances."""
   return [
     name
     for name, view in fleet.view_by_name.items()
@@ -32,7 +32,8 @@
   ]
 
 
-def knows(fleet, id):
+def find_knowing(fleet, id):
+
   return [
     name
     for name, item in fleet.by_name.items()
@@ -40,12 +41,12 @@
   ]
 
 
-async def settle(fleet):
-  """Returns once each domain has as many leaders as it should."""
+async def wait_for_leaders(fleet):
+  """Waits until the domain has the intended number of leaders."""
   await nodes.wait_until(
     lambda: (
       sum(item.feeds.leads('servers') for item in fleet.by_name.values())
-      == feed_sync.LEADERS
+      == feed_sync.LEADERS_PER_DOMAIN
     )
   )
 
@@ -53,25 +54,25 @@
 async def test_changes_reach_all_although_few_follow_the_store():
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
-    await settle(fleet)
-    # Who followed before has its last answer by now.
+    await wait_for_leaders(fleet)
+    # By then, former followers have received their last response.
     await fleet.shared.change(writes=[(key('e3'), ENTRY)])
-    await nodes.wait_until(lambda: len(knows(fleet, 'e3')) == len(NAMES))
+    await nodes.wait_until(lambda: len(find_knowing(fleet, 'e3')) == len(NAMES))
     fleet.clear_calls()
     for number in range(4, 8):
       await fleet.shared.change(writes=[(key(f'e{number}'), ENTRY)])
       await nodes.wait_until(
-        lambda n=number: len(knows(fleet, f'e{n}')) == len(NAMES)
+        lambda n=number: len(find_knowing(fleet, f'e{n}')) == len(NAMES)
       )
-    assert len(find_followers(fleet)) <= feed_sync.LEADERS
+    assert len(find_followers(fleet)) <= feed_sync.LEADERS_PER_DOMAIN
     await fleet.shared.change(removes=[key('e3')])
-    await nodes.wait_until(lambda: not knows(fleet, 'e3'), seconds=2.0)
+    await nodes.wait_until(lambda: not find_knowing(fleet, 'e3'), seconds=2.0)
 
 
-async def test_another_daemon_follows_when_the_leaders_are_gone():
+async def test_another_daemon_follows_after_the_leaders_stopped():
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
-    await settle(fleet)
+    await wait_for_leaders(fleet)
     leaders = [
       name
       for name, item in fleet.by_name.items()
@@ -81,13 +82,15 @@
       await fleet.stop(name)
     await fleet.shared.change(writes=[(key('e3'), ENTRY)])
     rest = len(NAMES) - len(leaders)
-    await nodes.wait_until(lambda: len(knows(fleet, 'e3')) == rest, seconds=3.0)
+    await nodes.wait_until(
+      lambda: len(find_knowing(fleet, 'e3')) == rest, seconds=3.0
+    )
 
 
-async def test_a_leader_without_the_store_leaves_it_to_others():
+async def test_other_daemons_take_over_from_leaders_without_the_store():
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
-    await settle(fleet)
+    await wait_for_leaders(fleet)
     leaders = [
       name
       for name, item in fleet.by_name.items()
@@ -98,14 +101,14 @@
       fleet.by_name[name].store.is_direct = False
     await fleet.shared.change(writes=[(key('e3'), ENTRY)])
     await nodes.wait_until(
-      lambda: len(knows(fleet, 'e3')) == len(NAMES), seconds=4.0
+      lambda: len(find_knowing(fleet, 'e3')) == len(NAMES), seconds=4.0
     )
 
 
 async def test_a_new_configuration_reaches_all():
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
-    await settle(fleet)
+    await wait_for_leaders(fleet)
     newer = msgspec.json.encode({**nodes.CONFIG, 'version': 9})
     place = rows.Key('op', '', 'config')
     await fleet.shared.change(writes=[(place, newer)])
@@ -115,8 +118,8 @@
     )
 
 
-def count_tellings(fleet):
-  """Returns the names of daemons that send datagrams for a change."""
+def record_announcements(fleet):
+  """Returns a list to which daemons that announce a change add their names."""
   found = []
   for name, item in fleet.by_name.items():
     for each in item.feeds._feed_by_table.values():
@@ -125,37 +128,37 @@
   return found
 
 
-async def test_only_who_follows_the_store_tells_of_a_change():
+async def test_only_daemons_that_follow_the_store_announce_a_change():
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
-    await settle(fleet)
+    await wait_for_leaders(fleet)
     await fleet.shared.change(writes=[(key('e3'), ENTRY)])
-    await nodes.wait_until(lambda: len(knows(fleet, 'e3')) == len(NAMES))
+    await nodes.wait_until(lambda: len(find_knowing(fleet, 'e3')) == len(NAMES))
     leaders = {n for n, d in fleet.by_name.items() if d.feeds.leads('servers')}
     source = fleet.by_name[min(leaders)]
     other = fleet.by_name[min(set(NAMES) - leaders)]
-    found = count_tellings(fleet)
+    found = record_announcements(fleet)
     await fleet.shared.change(writes=[(key('e4'), ENTRY)])
-    await nodes.wait_until(lambda: leaders <= set(knows(fleet, 'e4')))
+    await nodes.wait_until(lambda: leaders <= set(find_knowing(fleet, 'e4')))
     item = other.feeds._feed_by_table['servers']
-    await other.feeds._ask(item, source.fleet.me)
+    await other.feeds._fetch(item, source.fleet.me)
     assert 'e4' in other.catalogue.directory.by_id
     assert set(found) <= leaders
 
 
-async def test_a_hub_tells_its_domain_what_it_learned_of_a_peer():
+async def test_a_hub_announces_changes_learned_from_a_peer_to_its_domain():
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
-    await settle(fleet)
+    await wait_for_leaders(fleet)
     leaders = {n for n, d in fleet.by_name.items() if d.feeds.leads('servers')}
     source = fleet.by_name[min(leaders)]
     hub = fleet.by_name[min(set(NAMES) - leaders)]
-    found = count_tellings(fleet)
+    found = record_announcements(fleet)
     hub.fleet._hubs._hub_since = 0.0
     await fleet.shared.change(writes=[(key('e5'), ENTRY)])
-    await nodes.wait_until(lambda: leaders <= set(knows(fleet, 'e5')))
+    await nodes.wait_until(lambda: leaders <= set(find_knowing(fleet, 'e5')))
     item = hub.feeds._feed_by_table['servers']
-    await hub.feeds._ask(item, source.fleet.me)
+    await hub.feeds._fetch(item, source.fleet.me)
     assert hub.config.name in found
 
 
@@ -177,32 +180,32 @@
   )
 
 
-def test_a_list_read_anew_tells_others_what_changed_alone():
-  """The store forgot its history: who follows it reads its table as a whole."""
+def test_after_a_list_is_read_again_peers_get_only_what_changed():
+  """The store discarded its history, so that followers read the whole table."""
   listed = []
   known = make_feed(listed)
   assert known.take_changes(make_list(10, a=1, b=2, c=3))
   assert known.find_changes(5).is_list
   assert known.take_changes(make_list(15, a=1, c=12, d=14))
   assert len(listed) == 2
-  told = known.find_changes(10)
-  assert not told.is_list
-  assert {row.key.name: row.is_removed for row in told.rows} == {
+  changes = known.find_changes(10)
+  assert not changes.is_list
+  assert {row.key.name: row.is_removed for row in changes.rows} == {
     'b': True,
     'c': False,
     'd': False,
   }
   assert known.changed == 15
-  # One that missed the list in between is told as well.
+  # A daemon that missed the second list gets the same rows.
   other = make_feed([])
   other.take_changes(make_list(10, a=1, b=2, c=3))
-  other.take_changes(told)
+  other.take_changes(changes)
   assert set(other.find_changes(None).rows) == set(
     known.find_changes(None).rows
   )
 
 
-def test_a_list_with_nothing_new_has_nobody_ask():
+def test_a_list_without_changes_triggers_no_fetches():
   known = make_feed([])
   known.take_changes(make_list(10, a=1, b=2))
   assert not known.take_changes(make_list(20, a=1, b=2))
@@ -210,24 +213,27 @@
   assert known.find_changes(10).rows == ()
 
 
-def test_a_row_that_comes_back_after_a_list_without_it_is_there_again():
+def test_a_row_missing_from_one_list_is_restored_by_the_next():
   known = make_feed([])
   known.take_changes(make_list(10, a=1, b=2))
   known.take_changes(make_list(20, a=1))
   known.take_changes(make_list(30, a=1, b=25))
-  told = known.find_changes(10)
-  assert [(row.key.name, row.is_removed) for row in told.rows] == [('b', False)]
+  changes = known.find_changes(10)
+  assert [(row.key.name, row.is_removed) for row in changes.rows] == [
+    ('b', False)
+  ]
 
 
-async def test_the_return_of_a_domain_that_was_cut_off_is_none_for_others():
-  """Requests reached an instance 2.03 to 2.08 s after it had said it leaves.
+async def test_an_outage_in_one_domain_is_not_adopted_by_others():
+  """Guards against requests to an instance long after it has left.
 
-  A domain had been cut off from the store and told as it had it again.  Others,
-  which had had the store all the time, took that for a return of the store, and
-  an entry that was removed just then for one that had lapsed in an outage: they
-  kept it for two seconds.  Their logs: "Following servers" in the domain that
-  was cut off at 22.14 s, the instance leaves at 22.20 s, "stayed missing and is
-  gone" at 24.71 to 25.17 s in all others.
+  A domain regained contact with the store after a cut and announced that.
+  Other domains, which had contact all the time, adopted the outage and treated
+  an entry that was removed just then as one that had expired in it: they kept
+  it for two seconds, and requests reached the instance 2.03 to 2.08 s after it
+  had announced its departure.  The domain that was cut off followed the store
+  again at 22.14 s, the instance left at 22.20 s, and all other domains dropped
+  it at 24.71 to 25.17 s.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 's1')
@@ -238,14 +244,15 @@
     )
     for other in others:
       other.regained_at = time.monotonic()
-    await north.feeds._ask(known, far.fleet.me)
+    await north.feeds._fetch(known, far.fleet.me)
     assert known.regained_at == -math.inf
-    # Its own domain lost it as well, or this VM did.
-    await north.feeds._ask(known, near.fleet.me)
+    # The outage applies if a peer in the own domain had it, or if the store
+    # does not serve this VM.
+    await north.feeds._fetch(known, near.fleet.me)
     assert known.regained_at > -math.inf
     known.regained_at = -math.inf
     north.store.is_direct = False
-    await north.feeds._ask(known, far.fleet.me)
+    await north.feeds._fetch(known, far.fleet.me)
     assert known.regained_at > -math.inf
 
 
@@ -258,11 +265,12 @@
   return {**nodes.CONFIG, 'version': 9, 'routes': [*more, route]}
 
 
-async def test_a_large_table_is_handed_on_and_kept_compressed():
-  """A table of 1,500 routes, 0.4 MB, went to 22 daemons of a domain at once.
+async def test_a_large_table_is_sent_and_stored_compressed():
+  """Guards against large messages when a table is sent to many daemons at once.
 
-  The one that told it held a copy for each of them, and links of 30 Mbit/s were
-  busy for more than two seconds.
+  An uncompressed table of 1,500 routes, 0.4 MB, was sent to 22 daemons of a
+  domain at once.  The sender held a copy for each of them, and links of 30
+  Mbit/s were busy for more than two seconds.
   """
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 'n3')
--- a/tests/test_store_access.py
+++ b/tests/test_store_access.py
@@ -1,4 +1,4 @@
-"""Which failures of a call mean that the store is lost."""
+"""Failures of calls that do or do not mean that the store is unreachable."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
   await asyncio.Event().wait()
 
 
-async def test_all_calls_end_as_one_finds_the_store_lost():
+async def test_all_calls_are_aborted_when_one_finds_the_store_unreachable():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     store = fleet.by_name['n1'].store
@@ -36,7 +36,7 @@
     assert not store.is_direct
 
 
-async def test_a_call_over_the_rate_is_tried_again_and_is_no_loss():
+async def test_a_call_over_the_rate_limit_is_retried_directly():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     store, view = fleet.by_name['n1'].store, fleet.view_by_name['n1']
@@ -53,7 +53,7 @@
     assert len(calls) == 2 and store.is_direct
 
 
-async def test_a_vm_that_the_store_refuses_again_and_again_is_turned_away():
+async def test_a_vm_that_the_store_refuses_repeatedly_counts_as_not_served():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     store, view = fleet.by_name['n1'].store, fleet.view_by_name['n1']
@@ -62,12 +62,12 @@
       raise http.OverRate(errors.Code.PLATFORM_UNAVAILABLE, 'over its rate')
 
     view.read = refuse
-    # A peer makes the call.
+    # A peer relays the call.
     await store.read('turns', '00')
     assert not store.is_direct
 
 
-async def test_a_caller_that_gives_up_is_no_loss_of_the_store():
+async def test_a_cancelled_call_does_not_mean_that_the_store_is_unreachable():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1')
     store = fleet.by_name['n1'].store
@@ -78,43 +78,45 @@
     assert store.is_direct
 
 
-async def test_peers_that_lost_the_store_as_well_hold_a_call_up_only_once():
+async def test_peers_without_the_store_delay_only_the_first_call():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2', 'n3')
     store = fleet.by_name['n1'].store
-    stuck = asyncio.Event()
+    released = asyncio.Event()
 
     async def hang(*_, **options):
-      await stuck.wait()
+      await released.wait()
 
-    # The store refuses this VM; the others still say that they have it, and
-    # hang on a store that has gone silent.
+    # The store refuses this VM.  The other daemons still announce that they can
+    # reach the store, but their calls hang.
     fleet.view_by_name['n1'].is_cut = True
     for name in ('n2', 'n3'):
       fleet.view_by_name[name].change = hang
       fleet.view_by_name[name].read = hang
-    allowed = []
+    timeouts = []
     post = store._links.post
 
-    async def note(address, path, *parts, timeout, **options):
-      # Feeds are followed through peers at the same time.
+    async def record_timeout(address, path, *parts, timeout, **options):
+      # Calls of feeds are relayed at the same time.
       if path == 'store/change':
-        allowed.append(timeout)
+        timeouts.append(timeout)
       return await post(address, path, *parts, timeout=timeout, **options)
 
-    store._links.post = note
+    store._links.post = record_timeout
     with pytest.raises(errors.WoadrunError):
       await store.change()
-    assert allowed == [store_access.RELAY_SECONDS] * store_access.MOST_RELAYS
-    # The next call is not held up, and turns go on without the store.
+    assert (
+      timeouts == [store_access.RELAY_TIMEOUT_SECONDS] * store_access.MAX_RELAYS
+    )
+    # The next call is not delayed, so that turns go on without the store.
     assert not store.is_reached
     with pytest.raises(errors.WoadrunError):
       await store.change()
-    assert len(allowed) == store_access.MOST_RELAYS
-    stuck.set()
+    assert len(timeouts) == store_access.MAX_RELAYS
+    released.set()
 
 
-async def test_a_way_through_peers_is_looked_for_again_soon():
+async def test_relaying_through_peers_is_retried_soon():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     store = fleet.by_name['n1'].store
@@ -129,7 +131,7 @@
     assert not store.is_direct
 
 
-async def test_a_daemon_whose_write_hangs_makes_no_calls_for_others():
+async def test_a_daemon_whose_write_hangs_relays_no_calls():
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 'n2')
     near, view = fleet.by_name['n1'], fleet.view_by_name['n1']
@@ -140,7 +142,8 @@
     await nodes.wait_until(lambda: not near.store.has_answers)
     with pytest.raises(errors.WoadrunError):
       await near.relay.read(message)
-    # It says so before the call counts as lost.
+    # The daemon announces that it cannot reach the store before the write times
+    # out.
     await nodes.wait_until(
       lambda: not fleet.by_name['n2'].fleet.may_have_store('n1')
     )
