--- a/src/woadrun/process/store_clock.py
+++ b/src/woadrun/process/store_clock.py
@@ -25,16 +25,16 @@
     """Whether there has been any reading of the store's clock."""
     return self._max_offset < math.inf
 
-  def note(self, told: float, *, began: float, ended: float) -> None:
+  def note(self, reading: float, *, began: float, ended: float) -> None:
     """Records a reading that was taken between two local times."""
-    self.note_bounds((told, told), began=began, ended=ended)
+    self.note_bounds((reading, reading), began=began, ended=ended)
 
   def note_bounds(
-    self, told: tuple[float, float], *, began: float, ended: float
+    self, reading: tuple[float, float], *, began: float, ended: float
   ) -> None:
     """Records bounds of a reading that was taken between two local times."""
     drift = MAX_DRIFT * max(0.0, ended - self._updated_at)
-    min_offset, max_offset = told[0] - ended, told[1] - began
+    min_offset, max_offset = reading[0] - ended, reading[1] - began
     self._min_offset = max(self._min_offset - drift, min_offset)
     self._max_offset = min(self._max_offset + drift, max_offset)
     if self._min_offset > self._max_offset:
@@ -52,10 +52,10 @@
     drift = MAX_DRIFT * max(0.0, now - self._updated_at)
     return now + self._min_offset - drift, now + self._max_offset + drift
 
-  def get_age(self, told: float, now: float) -> float:
-    """Returns the upper bound of the seconds since the clock read `told`.
+  def get_age(self, reading: float, now: float) -> float:
+    """Returns the most seconds since a reading of the store's clock.
 
     Returns infinity if there was no reading.
     """
     bounds = self.get_bounds(now)
-    return math.inf if bounds is None else bounds[1] - told
+    return math.inf if bounds is None else bounds[1] - reading
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -26,88 +26,88 @@
 
 
 def test_failures_decay_and_expire(clock):
-  found = health.Health()
-  found.note_failure('a')
-  assert found.get_all() == {}
+  tracker = health.Health()
+  tracker.note_failure('a')
+  assert tracker.get_all() == {}
   clock.now += health.FAILURE_HALF_LIFE_SECONDS
-  found.note_failure('a')
-  assert found.get_all() == {'a': 0.5}
+  tracker.note_failure('a')
+  assert tracker.get_all() == {'a': 0.5}
   clock.now += health.FAILURE_HALF_LIFE_SECONDS
-  assert found.get_all() == {}
-  assert found.tell() == {'a': 0.8}
+  assert tracker.get_all() == {}
+  assert tracker.tell() == {'a': 0.8}
   clock.now += 5 * health.FAILURE_HALF_LIFE_SECONDS
-  assert found.tell() == {}
+  assert tracker.tell() == {}
 
 
 def test_the_failures_of_an_instance_are_capped(clock):
-  found = health.Health()
+  tracker = health.Health()
   for _ in range(50):
-    found.note_failure('a')
-  found.take('peer', {'a': health.MAX_FAILURES})
+    tracker.note_failure('a')
+  tracker.take('peer', {'a': health.MAX_FAILURES})
   most = health.MAX_FAILURES - health.TOLERATED_FAILURES
-  assert found.get_all() == {'a': most}
+  assert tracker.get_all() == {'a': most}
 
 
 def test_an_overdue_request_counts_as_failed_before_it_ends(clock):
-  found = health.Health()
-  found.note_sent('r', 'a', 'tools')
+  tracker = health.Health()
+  tracker.note_sent('r', 'a', 'tools')
   clock.now += health.MIN_OVERDUE_SECONDS
-  assert found.get_all() == {}
+  assert tracker.get_all() == {}
   clock.now += 0.1
-  assert found.get_all() == {'a': 0.5}
+  assert tracker.get_all() == {'a': 0.5}
   # The caller cancels the request; the failure still counts.
-  found.note_end('r')
-  assert found.get_all() == {'a': 0.5}
+  tracker.note_end('r')
+  assert tracker.get_all() == {'a': 0.5}
 
 
 def test_slow_responses_raise_the_timeout_of_their_service_for_a_while(clock):
-  found = health.Health()
-  found.note_sent('slow', 'a', 'tools')
+  tracker = health.Health()
+  tracker.note_sent('slow', 'a', 'tools')
   clock.now += 0.9
-  found.note_answer('slow')
-  found.note_end('slow')
-  found.note_sent('r', 'a', 'tools')
-  found.note_sent('other', 'b', 'models')
+  tracker.note_answer('slow')
+  tracker.note_end('slow')
+  tracker.note_sent('r', 'a', 'tools')
+  tracker.note_sent('other', 'b', 'models')
   clock.now += 1.7
-  assert found.get_all() == {'b': 0.5}
-  found.note_end('other')
+  assert tracker.get_all() == {'b': 0.5}
+  tracker.note_end('other')
   clock.now += 0.2
-  assert found.get_all()['a'] == 0.5
-  found.note_end('r')
+  assert tracker.get_all()['a'] == 0.5
+  tracker.note_end('r')
   clock.now += 4 * health.LATENCY_HALF_LIFE_SECONDS
-  found.note_sent('late', 'a', 'tools')
+  tracker.note_sent('late', 'a', 'tools')
   clock.now += health.MIN_OVERDUE_SECONDS + 0.1
-  assert found.get_all() == {'a': 0.5}
+  assert tracker.get_all() == {'a': 0.5}
 
 
 def test_reports_of_peers_add_up_and_expire(clock):
-  found = health.Health()
-  found.take('one', {'a': 1.0})
-  found.take('two', {'a': 0.5, 'b': 0.5})
-  assert found.get_all() == {'a': 0.5}
+  tracker = health.Health()
+  tracker.take('one', {'a': 1.0})
+  tracker.take('two', {'a': 0.5, 'b': 0.5})
+  assert tracker.get_all() == {'a': 0.5}
   clock.now += health.PEER_REPORT_TTL_SECONDS
-  assert found.get_all() == {}
+  assert tracker.get_all() == {}
 
 
 def test_own_failures_in_the_sum_of_a_domain_count_once(clock):
-  found = health.Health()
-  found.note_failure('a')
-  assert found.tell() == {'a': 1.0}
-  found.take_sum({'a': 3.0}, age=0.2)
-  assert found.get_all() == {'a': 2.0}
+  tracker = health.Health()
+  tracker.note_failure('a')
+  assert tracker.tell() == {'a': 1.0}
+  tracker.take_sum({'a': 3.0}, age=0.2)
+  assert tracker.get_all() == {'a': 2.0}
 
 
 def test_the_log_says_which_instances_become_and_cease_to_be_avoided(
   clock, caplog
 ):
   caplog.set_level('INFO', logger='woadrun.health')
-  found = health.Health()
-  found.note_failure('a', 3.0)
-  found.log_changes()
-  found.log_changes()
-  assert found.avoided == {'a'}
+  tracker = health.Health()
+  tracker.note_failure('a', 3.0)
+  tracker.log_changes()
+  tracker.log_changes()
+  assert tracker.avoided == {'a'}
   clock.now += 5 * health.FAILURE_HALF_LIFE_SECONDS
-  found.log_changes()
+  tracker.log_changes()
   assert [record.message for record in caplog.records] == [
     'Instance a is avoided: 2.0 failures.',
     'Instance a is no longer avoided.',
@@ -219,18 +219,18 @@
 
 
 def test_reading_failures_does_not_change_the_last_report(clock):
-  found = health.Health()
-  found.note_failure('a', 3.0)
-  assert found.tell() == {'a': 3.0}
+  tracker = health.Health()
+  tracker.note_failure('a', 3.0)
+  assert tracker.tell() == {'a': 3.0}
   # A failure after the hub computed its sum, and a read of all failures.
-  found.note_failure('a', 2.0)
-  found.take('peer', {'a': 1.0})
-  found.get_all()
-  found.take('peer', {})
+  tracker.note_failure('a', 2.0)
+  tracker.take('peer', {'a': 1.0})
+  tracker.get_all()
+  tracker.take('peer', {})
   # The sum has the 3 reported failures and 2 of other daemons.
-  found.take_sum({'a': 5.0}, age=0.0)
-  assert found.get_all() == {
+  tracker.take_sum({'a': 5.0}, age=0.0)
+  assert tracker.get_all() == {
     'a': health.MAX_FAILURES - health.TOLERATED_FAILURES
   }
-  found._record_by_id.clear()
-  assert found.get_all() == {'a': 2.0 - health.TOLERATED_FAILURES}
+  tracker._record_by_id.clear()
+  assert tracker.get_all() == {'a': 2.0 - health.TOLERATED_FAILURES}
