--- a/src/woadrun/process/copies.py
+++ b/src/woadrun/process/copies.py
@@ -1,7 +1,8 @@
-"""The copies of slots that this daemon holds for other daemons.
+"""The copies of slots that this daemon stores for other daemons.
 
-A replica acknowledges its owner's batches; a learner was sent ahead of a
-change of the pair and becomes one when the roster says so.
+A replica acknowledges its owner's batches.  A learner is a copy sent before a
+change of the pair; it becomes a replica when the roster names this daemon as
+the standby.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Copies:
-  """The slots that this daemon stands by for, or is about to."""
+  """Stores the copies of slots of which this daemon is or becomes standby."""
 
   def __init__(
     self,
@@ -29,19 +30,19 @@
     members: membership.Membership,
     address: str,
     answers: int,
-    is_held: Callable[[int], bool],
+    is_owned: Callable[[int], bool],
   ) -> None:
     self._members = members
     self._address = address
     self._answers = answers
-    self._is_held = is_held
+    self._is_owned = is_owned
     self.replica_by_slot: dict[int, slots.Replica] = {}
     self._learner_by_slot: dict[int, slots.Learner] = {}
 
-  # --- What owners send -----------------------------------------------------
+  # --- Messages of owners -----------------------------------------------------
 
   def receive(self, message: messages.Replicate) -> messages.Replicated:
-    """Returns the word on each batch that an owner sent."""
+    """Applies the batches of an owner and acknowledges or rejects each."""
     acks = [
       messages.Ack(
         slot=append.slot,
@@ -54,12 +55,12 @@
 
   def _receive(self, append: messages.Append) -> slots.Verdict:
     entry = self._members.roster.slots[append.slot]
-    if entry.epoch > append.epoch or self._is_held(append.slot):
+    if entry.epoch > append.epoch or self._is_owned(append.slot):
       return slots.Verdict.STALE
     replica = self.replica_by_slot.get(append.slot)
     if replica is None:
       log.info(
-        'Slot %d: no copy for batch %d of epoch %d, asking for one.',
+        'Slot %d: no copy for batch %d of epoch %d; requesting a copy.',
         append.slot,
         append.sequence,
         append.epoch,
@@ -68,21 +69,21 @@
     return replica.receive(append, answers=self._answers)
 
   def learn(self, message: messages.Sync) -> messages.Done:
-    """Takes the copy of a slot that this daemon is to stand by for.
+    """Stores a copy of a slot of which this daemon is or becomes standby.
 
-    The sender counts an acknowledged copy as held, so a copy that would not
-    be used is refused.
+    The sender treats the records of an acknowledged copy as replicated, so a
+    copy that would not be used is refused.
     """
     replica = self.replica_by_slot.get(message.slot)
     if replica is not None and replica.is_fenced:
-      raise make_stale('This daemon is taking the slot over.')
-    if self._is_held(message.slot):
-      raise make_stale('This daemon serves the slot itself.')
+      raise make_stale_error('This daemon is taking over the slot.')
+    if self._is_owned(message.slot):
+      raise make_stale_error('This daemon owns the slot.')
     if self._members.roster.slots[message.slot].epoch > message.version.epoch:
-      raise make_stale('This daemon knows a newer pair of the slot.')
-    if self._is_standby_of(message):
+      raise make_stale_error('This daemon knows a newer epoch of the slot.')
+    if self._is_from_current_owner(message):
       if replica is not None and replica.version > message.version:
-        raise make_stale('This daemon stands by for a newer owner.')
+        raise make_stale_error('This daemon has a replica of a newer version.')
       self.replica_by_slot[message.slot] = slots.Replica(
         owner=message.sender,
         version=message.version,
@@ -100,7 +101,7 @@
       )
     return messages.Done()
 
-  def _is_standby_of(self, message: messages.Sync) -> bool:
+  def _is_from_current_owner(self, message: messages.Sync) -> bool:
     entry = self._members.roster.slots[message.slot]
     if entry.epoch != message.version.epoch:
       return False
@@ -108,11 +109,14 @@
     return is_pair or message.version.claimer == message.sender
 
   def forget(self, message: messages.Sync) -> messages.Done:
-    """Drops a copy whose change of the pair did not come about."""
+    """Drops a copy at the request of the owner that sent it.
+
+    The owner's change of the pair failed, or it chose another standby.
+    """
     learner = self._learner_by_slot.get(message.slot)
-    # A request to drop a copy may arrive after the next copy.
-    sent = (message.sender, message.copy_id)
-    if learner is not None and (learner.sender, learner.copy_id) == sent:
+    # The request to drop a copy may arrive after the next copy of the slot.
+    copy_key = (message.sender, message.copy_id)
+    if learner is not None and (learner.sender, learner.copy_id) == copy_key:
       del self._learner_by_slot[message.slot]
     replica = self.replica_by_slot.get(message.slot)
     if (
@@ -123,12 +127,15 @@
       del self.replica_by_slot[message.slot]
     return messages.Done()
 
-  # --- What the roster and claims say ---------------------------------------
+  # --- Changes of the roster and claims -------------------------------------
 
-  def take(
+  def pop(
     self, number: int, epoch: int
   ) -> slots.Replica | slots.Learner | None:
-    """Returns the copy of an epoch, for an owner to begin with, if any."""
+    """Removes the copies of a slot; returns one of `epoch`, or None.
+
+    A new owner starts from that copy.
+    """
     replica = self.replica_by_slot.pop(number, None)
     learner = self._learner_by_slot.pop(number, None)
     for copy in (replica, learner):
@@ -136,23 +143,26 @@
         return copy
     return None
 
-  def keep(
+  def become_standby(
     self, number: int, entry: roster.Slot, state: program.SlotState
   ) -> None:
-    """Stands by for a slot that this daemon owned before."""
+    """Turns the state of a formerly owned slot into a replica.
+
+    If the roster entry names another standby, the state is discarded.
+    """
     if entry.standby != self._address:
-      self.follow(number, entry)
+      self.apply_entry(number, entry)
       return
     self._learner_by_slot.pop(number, None)
-    self._stand_by(number, entry, roster.Version(entry.epoch), state, [])
+    self._store_replica(number, entry, roster.Version(entry.epoch), state, [])
 
-  def follow(self, number: int, entry: roster.Slot) -> None:
-    """Keeps the copy of a slot that the roster, or a claim, wants here."""
+  def apply_entry(self, number: int, entry: roster.Slot) -> None:
+    """Keeps, drops or activates the copy of a slot whose pair changed."""
     replica = self.replica_by_slot.get(number)
     is_standby = entry.standby == self._address
     if replica is not None:
-      is_wanted = is_standby or replica.version.claim > 0
-      if is_wanted and replica.version.epoch == entry.epoch:
+      is_current = is_standby or replica.version.claim > 0
+      if is_current and replica.version.epoch == entry.epoch:
         return
       del self.replica_by_slot[number]
     if not is_standby:
@@ -160,18 +170,19 @@
     learner = self._learner_by_slot.pop(number, None)
     version = roster.Version(entry.epoch)
     if learner is not None and learner.version.epoch == entry.epoch:
-      # The owner learned of the new pair before this daemon did.
+      # The owner received the new pair before this daemon and sent a copy of
+      # the new epoch.
       version = learner.version
     elif learner is None or learner.version.epoch != entry.before:
       log.warning(
-        'Slot %d: named as standby in epoch %d without a copy.',
+        'Slot %d: became standby in epoch %d without a copy.',
         number,
         entry.epoch,
       )
       return
-    self._stand_by(number, entry, version, learner.state, learner.tail)
+    self._store_replica(number, entry, version, learner.state, learner.tail)
 
-  def _stand_by(
+  def _store_replica(
     self,
     number: int,
     entry: roster.Slot,
@@ -186,10 +197,10 @@
       tail=collections.deque(tail),
     )
 
-  def drop_before(self, number: int, claim: roster.Version) -> None:
-    """Drops a copy of the time before a claim: it may lack what came since."""
+  def drop_superseded(self, number: int, claim: roster.Version) -> None:
+    """Drops a replica older than a claim, since it may miss records."""
     replica = self.replica_by_slot.get(number)
-    if replica is not None and is_after(claim, replica.version):
+    if replica is not None and supersedes(claim, replica.version):
       del self.replica_by_slot[number]
 
   def dump(self) -> dict[str, object]:
@@ -206,11 +217,11 @@
     }
 
 
-def is_after(claim: roster.Version, version: roster.Version) -> bool:
-  """Returns whether a claim follows a version within its epoch."""
+def supersedes(claim: roster.Version, version: roster.Version) -> bool:
+  """Returns whether a claim is newer than a version of the same epoch."""
   return claim.epoch == version.epoch and claim.claim > version.claim
 
 
-def make_stale(message: str) -> errors.WoadrunError:
-  """Returns the refusal of a copy that came too late."""
+def make_stale_error(message: str) -> errors.WoadrunError:
+  """Returns the error for a copy that is outdated."""
   return errors.WoadrunError(errors.Code.STALE_EPOCH, message)
--- a/src/woadrun/process/membership.py
+++ b/src/woadrun/process/membership.py
@@ -1,8 +1,8 @@
-"""Who is in the failure domain, who is silent, and the roster in force.
+"""Membership of the failure domain, failure detection and the roster.
 
-The roster row is the only truth about who owns what.  Heartbeats tell
-who is silent and spread new versions of roster and table; they decide
-nothing by themselves.
+The roster row is the single source of truth for slot ownership.  Heartbeats
+detect silent daemons and spread new versions of the roster and the table; they
+never change ownership by themselves.
 """
 
 from __future__ import annotations
@@ -29,24 +29,27 @@
 log = logging.getLogger('woadrun.membership')
 
 ROSTER_TABLE = 'roster'
-# Up to this size every daemon of a domain exchanges heartbeats with all.
-FULL_MESH = 8
-# Beyond it, these many successors in the ring besides the partners.
-RING = 2
-# Reads of the roster row a second by the daemons of one domain together.
-ROSTER_READS = 2.0
-# How long another daemon's word about a silent one counts.
-SUSPECT_SECONDS = 3.0
-# After so long without a word a whole domain seems cut off.
-DOMAIN_SECONDS = 5.0
-# The part of heartbeats across domains that goes beyond the region.
-FAR_SHARE = 0.2
+# Largest domain in which every daemon exchanges heartbeats with all others.
+MAX_FULL_MESH_DAEMONS = 8
+# In a larger domain each daemon exchanges heartbeats with its partners and with
+# this number of successors in the ring of addresses.
+RING_SUCCESSORS = 2
+# Total rate at which the daemons of one domain read the roster row.
+ROSTER_READS_PER_SECOND = 2.0
+# How long another daemon's report of a silent member is valid.
+SUSPICION_TTL_SECONDS = 3.0
+# A foreign domain counts as unreachable when none of its daemons has sent a
+# heartbeat for this time.
+DOMAIN_TIMEOUT_SECONDS = 5.0
+# Share of the heartbeats to foreign domains that go to all domains instead of
+# only those of the own region.
+ALL_REGIONS_SHARE = 0.2
 
 RosterListener = Callable[[roster.Roster], None]
 
 
 class Membership(mode.Service):
-  """The process's knowledge of its own and of other failure domains."""
+  """Tracks the members and rosters of this and of other failure domains."""
 
   def __init__(
     self,
@@ -73,77 +76,86 @@
     self.roster = self.directory.roster
     self.is_leaving = False
     self.listeners: list[RosterListener] = []
-    # Called when the roster of any domain changed.
+    # Called when the roster of any domain changes.
     self.known_listeners: list[Callable[[], None]] = []
     self.loads: Callable[[], list[messages.UpstreamLoad]] = list
     self.load_by_upstream: dict[str, messages.UpstreamLoad] = {}
     self.table_version: Callable[[], int] = lambda: 0
     self.on_newer_table: Callable[[str], None] = lambda address: None
     self._heard_at: dict[str, float] = {}
-    self._targets: list[str] = []
-    self._watched_since: dict[str, float] = {}
+    self._heartbeat_targets: list[str] = []
+    self._target_since: dict[str, float] = {}
     self._domain_heard_at: dict[str, float] = {}
     self._suspected_at: dict[str, float] = {}
-    self._leaving: set[str] = set()
+    self._leaving_members: set[str] = set()
     self._confirmed_at = float('-inf')
-    self._platform_ok_at = float('-inf')
-    self._beating: dict[str, asyncio.Task] = {}
+    self._platform_answered_at = float('-inf')
+    self._heartbeat_tasks: dict[str, asyncio.Task] = {}
 
   # --- Reading --------------------------------------------------------------
 
   def get_silent(self) -> set[str]:
-    """Returns the members that seem dead, as far as this daemon knows."""
+    """Returns the members that this daemon suspects to be dead."""
     now = time.monotonic()
-    targets = set(self._targets)
-    silent = self._get_unanswering()
+    targets = set(self._heartbeat_targets)
+    silent = self._get_unresponsive()
     for member, at in self._suspected_at.items():
       heard = self._heard_at.get(member, float('-inf'))
-      if member not in targets and now - at < SUSPECT_SECONDS and heard < at:
+      if (
+        member not in targets
+        and now - at < SUSPICION_TTL_SECONDS
+        and heard < at
+      ):
         silent.add(member)
     return silent & set(self.roster.incarnations)
 
-  def _get_unanswering(self) -> set[str]:
-    """Returns the members that this daemon itself hears nothing of.
+  def _get_unresponsive(self) -> set[str]:
+    """Returns the members whose heartbeats this daemon itself misses.
 
-    Only they are told to others: a rumour that is passed on would never
-    end.
+    Only these are reported to other daemons: a suspicion that every receiver
+    passed on would never expire.
     """
     now = time.monotonic()
     limit = self._config.timing.silent_after
-    return {m for m in self._targets if now - self._get_heard(m) > limit}
+    return {
+      m
+      for m in self._heartbeat_targets
+      if now - self._get_last_heard(m) > limit
+    }
 
-  def _get_heard(self, member: str) -> float:
-    # A member that is watched only since a moment has had no time to speak.
-    since = self._watched_since.get(member, time.monotonic())
+  def _get_last_heard(self, member: str) -> float:
+    # A member that was added as a heartbeat target only recently has had no
+    # time to answer.
+    since = self._target_since.get(member, time.monotonic())
     return max(since, self._heard_at.get(member, since))
 
   def get_unfit(self) -> set[str]:
-    """Returns the members that must get no new slots."""
+    """Returns the members that must not receive new slots."""
     listed = self.vms.get_leaving() & set(self.roster.incarnations)
-    return self.get_silent() | self._leaving | listed
+    return self.get_silent() | self._leaving_members | listed
 
   def has_quorum(self) -> bool:
-    """Returns whether most of the members watched were heard lately."""
-    targets = self._targets
+    """Returns whether most heartbeat targets answered recently."""
+    targets = self._heartbeat_targets
     heard = len(set(targets) - self.get_silent())
     return 2 * (heard + 1) > len(targets) + 1
 
   def is_platform_up(self) -> bool:
-    """Returns whether the table answered lately."""
+    """Returns whether the table answered recently."""
     limit = 2 * self._config.timing.silent_after + self._get_read_interval()
-    return time.monotonic() - self._platform_ok_at < limit
+    return time.monotonic() - self._platform_answered_at < limit
 
   def count_daemons(self) -> int:
-    """Returns how many daemons share the platform, in all domains."""
+    """Returns the number of daemons that share the platform, in all domains."""
     return max(1, len(self.vms.vm_by_address), len(self.roster.incarnations))
 
   @property
   def process_name(self) -> str:
-    """Returns what names this process among all that ever ran."""
+    """Returns a name of this process that no other process ever has."""
     return directory.make_process_name(self.address, self.incarnation)
 
   def make_heartbeat(self) -> messages.Heartbeat:
-    """Returns what this daemon says of itself now."""
+    """Returns a heartbeat with the current state of this daemon."""
     return messages.Heartbeat(
       sender=self.address,
       domain=self.domain,
@@ -151,7 +163,7 @@
       roster_version=self.roster.version,
       table_version=self.table_version(),
       leaving=self.is_leaving,
-      suspects=sorted(self._get_unanswering()),
+      suspects=sorted(self._get_unresponsive()),
       claims=self.directory.claims(),
       loads=self.loads(),
       leaving_vms=sorted(self.vms.get_leaving()),
@@ -160,9 +172,9 @@
   # --- The roster -----------------------------------------------------------
 
   async def change(self, change: roster.Change) -> bool:
-    """Returns whether `change` led to a new roster, which is in force then.
+    """Returns whether `change` produced a new roster, which is then applied.
 
-    Raises a platform error when the table can't be reached.
+    Raises a platform error when the table is unreachable.
     """
     before = self.roster.version
     changed_to = 0
@@ -183,26 +195,26 @@
       type=roster.Roster,
       empty=roster.make_empty(self.domain, slots=self._config.daemon.slots),
     )
-    self._note_confirmed(started)
+    self._record_confirmed(started)
     self.adopt(stored)
     is_changed = bool(changed_to) and stored.version == changed_to
     if is_changed and stored.version > before:
-      await self._push()
+      await self._broadcast_roster()
     return is_changed
 
   async def refresh(self) -> None:
-    """Reads the roster row; raises a platform error when that fails."""
+    """Reads the roster row; raises a platform error if the read fails."""
     started = time.monotonic()
     row = await self._table.read(ROSTER_TABLE, self.domain)
-    self._note_confirmed(started)
+    self._record_confirmed(started)
     if row is not None:
       self.adopt(msgspec.json.decode(row.value, type=roster.Roster))
 
   async def confirm(self) -> None:
-    """Returns when this daemon knows that it is not isolated.
+    """Returns once it is certain that this daemon is not isolated.
 
-    Either most members were heard lately, or the table just answered.
-    Raises `isolated` otherwise.
+    Either most heartbeat targets answered recently, or the table did.  Raises
+    `isolated` otherwise.
     """
     age = time.monotonic() - self._confirmed_at
     if self.has_quorum() or age < self._config.timing.silent_after:
@@ -212,37 +224,38 @@
     except errors.WoadrunError:
       raise errors.WoadrunError(
         errors.Code.ISOLATED,
-        'This daemon reaches neither its failure domain nor the table.',
+        'This daemon can reach neither its failure domain nor the table.',
         retry_after=self._config.timing.silent_after,
       ) from None
 
   def adopt(self, new: roster.Roster) -> bool:
-    """Returns whether a roster is newer than the one known, and takes it."""
+    """Returns whether a roster is newer than the known one, and applies it."""
     if new.domain != self.domain:
       known = self.directory.roster_by_domain.get(new.domain)
       if known is None or new.version > known.version:
         self.directory.roster_by_domain[new.domain] = new
-        for note_known in self.known_listeners:
-          note_known()
+        for notify in self.known_listeners:
+          notify()
         return True
       return False
     if new.version <= self.roster.version:
       return False
     now = time.monotonic()
-    self._leaving &= set(new.incarnations)
+    self._leaving_members &= set(new.incarnations)
     self.roster = self.directory.roster = new
-    self._targets = self._find_targets()
-    self._watched_since = {
-      member: self._watched_since.get(member, now) for member in self._targets
+    self._heartbeat_targets = self._find_heartbeat_targets()
+    self._target_since = {
+      member: self._target_since.get(member, now)
+      for member in self._heartbeat_targets
     }
     for listener in self.listeners:
       listener(new)
-    for note_known in self.known_listeners:
-      note_known()
+    for notify in self.known_listeners:
+      notify()
     return True
 
   async def fetch(self, domain: str, address: str) -> None:
-    """Takes a domain's roster from a peer, if it knows a newer one."""
+    """Fetches a domain's roster and claims from a peer; applies newer ones."""
     answer = await self._links.post(
       address,
       'roster/get',
@@ -256,25 +269,25 @@
       self.directory.note_claim(domain, slot, claim)
 
   async def is_heard_by_others(self, address: str) -> bool:
-    """Returns whether a fresh round trip shows that a member is alive.
+    """Returns whether a new round trip shows that a member is alive.
 
-    Asks the member itself and all others that should know.
+    Asks the member itself and all other heartbeat targets.
     """
-    others = [m for m in self._targets if m != address]
+    others = [m for m in self._heartbeat_targets if m != address]
     answers = await asyncio.gather(
       self._probe(address),
-      *(self._ask(other, address) for other in others),
+      *(self._query_liveness(other, address) for other in others),
     )
     return any(answers)
 
   # --- Heartbeats -----------------------------------------------------------
 
   def note_heartbeat(self, beat: messages.Heartbeat) -> None:
-    """Takes in what a peer says of itself."""
+    """Records the state that a peer reports in its heartbeat."""
     now = time.monotonic()
     self._domain_heard_at[beat.domain] = now
     if beat.domain == self.domain:
-      self._note_member(beat, now)
+      self._record_member(beat, now)
       if beat.roster_version > self.roster.version:
         self.add_future(self._try_fetch(self.domain, beat.sender))
     else:
@@ -288,30 +301,32 @@
       self.on_newer_table(beat.sender)
 
   def watch(self, address: str) -> None:
-    """Exchanges heartbeats with a member until the next roster."""
-    if address not in self._targets:
-      self._targets.append(address)
-      self._watched_since[address] = time.monotonic()
+    """Adds a member to the heartbeat targets until the next roster."""
+    if address not in self._heartbeat_targets:
+      self._heartbeat_targets.append(address)
+      self._target_since[address] = time.monotonic()
 
-  def _note_member(self, beat: messages.Heartbeat, now: float) -> None:
+  def _record_member(self, beat: messages.Heartbeat, now: float) -> None:
     expected = self.roster.incarnations.get(beat.sender)
     if expected is not None and expected != beat.incarnation:
       return
     self._heard_at[beat.sender] = now
     self._suspected_at.pop(beat.sender, None)
     if beat.leaving:
-      self._leaving.add(beat.sender)
+      self._leaving_members.add(beat.sender)
     for member in beat.suspects:
       self._suspected_at[member] = now
     self.directory.note_claims_of(beat.sender, beat.claims)
 
-  def _find_targets(self) -> list[str]:
+  def _find_heartbeat_targets(self) -> list[str]:
     members = roster.get_members(self.roster)
     others = [m for m in members if m != self.address]
-    if len(members) <= FULL_MESH:
+    if len(members) <= MAX_FULL_MESH_DAEMONS:
       return others
     index = sum(m < self.address for m in others)
-    ring = [others[(index + step) % len(others)] for step in range(RING)]
+    ring = [
+      others[(index + step) % len(others)] for step in range(RING_SUCCESSORS)
+    ]
     partners = roster.get_partners(self.roster, self.address)
     return sorted(partners | set(ring))
 
@@ -322,7 +337,7 @@
       return False
     return beat.incarnation == self.roster.incarnations.get(address)
 
-  async def _ask(self, other: str, address: str) -> bool:
+  async def _query_liveness(self, other: str, address: str) -> bool:
     try:
       answer = await self._links.post(
         other,
@@ -338,20 +353,20 @@
     return answer.is_heard
 
   def hears(self, address: str) -> bool:
-    """Returns whether a member spoke to this daemon lately."""
+    """Returns whether a member sent this daemon a heartbeat recently."""
     heard = self._heard_at.get(address, float('-inf'))
     return time.monotonic() - heard < self._config.timing.silent_after
 
   def note_unreached(self, domain: str) -> None:
-    """Takes a domain for cut off until one of its daemons speaks again."""
+    """Marks a domain as unreachable until one of its daemons is heard again."""
     self._domain_heard_at.pop(domain, None)
 
   def hears_domain(self, domain: str) -> bool:
-    """Returns whether any daemon of a domain spoke to this one lately."""
+    """Returns whether any daemon of a domain sent a heartbeat recently."""
     if domain == self.domain:
       return True
     heard = self._domain_heard_at.get(domain, float('-inf'))
-    return time.monotonic() - heard < DOMAIN_SECONDS
+    return time.monotonic() - heard < DOMAIN_TIMEOUT_SECONDS
 
   async def _exchange(self, address: str) -> messages.Heartbeat:
     beat = await self._links.post(
@@ -365,41 +380,55 @@
     return beat
 
   async def greet(self, address: str) -> None:
-    """Learns roster and table from a daemon outside any roster known."""
+    """Fetches roster and claims from a daemon that no known roster lists.
+
+    A newer table that its heartbeat reports is fetched as well.
+    """
     beat = await self._exchange(address)
     await self.fetch(beat.domain, address)
 
-  async def _beat(self, address: str) -> None:
+  async def _try_exchange(self, address: str) -> None:
     try:
       await self._exchange(address)
     except errors.WoadrunError as error:
-      log.debug('No heartbeat: %s', error)
+      log.debug('Heartbeat exchange failed: %s', error)
 
   @mode.Service.task
   async def _send_heartbeats(self) -> None:
     while not self.should_stop:
-      for address in (*self._targets, *self._choose_foreign()):
-        task = self._beating.get(address)
+      for address in (
+        *self._heartbeat_targets,
+        *self._choose_foreign_targets(),
+      ):
+        task = self._heartbeat_tasks.get(address)
         if task is None or task.done():
-          self._beating[address] = asyncio.ensure_future(self._beat(address))
+          self._heartbeat_tasks[address] = asyncio.ensure_future(
+            self._try_exchange(address)
+          )
       pause = self._config.timing.heartbeat * random.uniform(0.9, 1.1)
       due = time.monotonic() + pause
       await self.sleep(pause)
-      self._note_late(time.monotonic() - due)
+      self._log_loop_delay(time.monotonic() - due)
 
-  def _note_late(self, seconds: float) -> None:
-    """Logs a long delay of the event loop, in which heartbeats are missed."""
+  def _log_loop_delay(self, seconds: float) -> None:
+    """Logs a long delay of the event loop, during which heartbeats are missed.
+
+    The log line distinguishes a frozen daemon from one that is cut off.
+    """
     if seconds > self._config.timing.silent_after / 2:
       log.warning(
-        'Event loop was late by %.1f s: frozen, or short of processor time.',
+        'Event loop was late by %.1f s: process frozen or short of CPU time.',
         seconds,
       )
 
-  def _choose_foreign(self) -> list[str]:
-    # Now and then a daemon of another region, else one of this region.
+  def _choose_foreign_targets(self) -> list[str]:
+    # Returns at most one daemon, on average one per second: mostly of the own
+    # region, and of any region in the cross-region share of the rounds.
     region = set(self._config.daemon.region_domains) - {self.domain}
-    is_far = random.random() < FAR_SHARE
-    domains = self.vms.get_domains() - {self.domain} if is_far else region
+    is_any_region = random.random() < ALL_REGIONS_SHARE
+    domains = (
+      self.vms.get_domains() - {self.domain} if is_any_region else region
+    )
     foreign = self.vms.get_staying(domains)
     is_due = random.random() < self._config.timing.heartbeat
     return [random.choice(foreign)] if foreign and is_due else []
@@ -413,23 +442,24 @@
       try:
         await self.refresh()
       except errors.WoadrunError as error:
-        log.debug('Roster not read: %s', error)
+        log.debug('Roster read failed: %s', error)
 
   def _get_read_interval(self) -> float:
-    return max(1.0, len(self.roster.incarnations) / ROSTER_READS)
+    return max(1.0, len(self.roster.incarnations) / ROSTER_READS_PER_SECOND)
 
-  def _note_confirmed(self, at: float) -> None:
+  def _record_confirmed(self, at: float) -> None:
     self._confirmed_at = max(self._confirmed_at, at)
-    self._platform_ok_at = max(self._platform_ok_at, at)
+    self._platform_answered_at = max(self._platform_answered_at, at)
 
-  async def _push(self) -> None:
-    # The pair's daemons must know before the next call; the rest may
-    # learn by heartbeat, yet a push spares them a detour.
-    away = self.get_silent() | {self.address}
-    others = [m for m in self.roster.incarnations if m not in away]
-    await asyncio.gather(*(self._push_to(other) for other in others))
+  async def _broadcast_roster(self) -> None:
+    # The daemons of a changed pair need the new roster before the next call.
+    # The others would get it by heartbeat; sending it avoids that they route
+    # calls to the previous owner until then.
+    excluded = self.get_silent() | {self.address}
+    others = [m for m in self.roster.incarnations if m not in excluded]
+    await asyncio.gather(*(self._send_roster(other) for other in others))
 
-  async def _push_to(self, address: str) -> None:
+  async def _send_roster(self, address: str) -> None:
     try:
       await self._links.post(
         address,
@@ -439,18 +469,18 @@
         timeout=self._config.timing.heartbeat,
       )
     except errors.WoadrunError as error:
-      log.debug('Roster not pushed: %s', error)
+      log.debug('Roster not sent to a member: %s', error)
 
   async def _try_fetch(self, domain: str, address: str) -> None:
     try:
       await self.fetch(domain, address)
     except errors.WoadrunError as error:
-      log.debug('Roster not fetched: %s', error)
+      log.debug('Roster fetch failed: %s', error)
 
   # --- Joining and leaving --------------------------------------------------
 
   def is_joined(self) -> bool:
-    """Returns whether the roster has this very process as a member."""
+    """Returns whether the roster lists this process, by its incarnation."""
     return self.roster.incarnations.get(self.address) == self.incarnation
 
   async def join(self) -> None:
@@ -460,10 +490,10 @@
         current, self.address, self.incarnation
       )
     )
-    log.info('Joined %s as %s.', self.domain, self.address)
+    log.info('Joined failure domain %s as %s.', self.domain, self.address)
 
   async def quit(self) -> None:
-    """Takes this process out of the roster."""
+    """Removes this process from the roster."""
 
     def without(current: roster.Roster) -> roster.Roster | None:
       if current.incarnations.get(self.address) != self.incarnation:
@@ -471,10 +501,10 @@
       return roster.without_member(current, self.address)
 
     await self.change(without)
-    log.info('Left %s.', self.domain)
+    log.info('Left failure domain %s.', self.domain)
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of the membership as plain data."""
     return {
       'address': self.address,
       'domain': self.domain,
--- a/src/woadrun/process/outage.py
+++ b/src/woadrun/process/outage.py
@@ -1,10 +1,11 @@
-"""What becomes of slots while the table service is out.
-
-The roster row cannot be changed then.  A daemon that serves a slot all
-the same *claims* it, under a version of its own within the epoch: for a
-silent owner, for one that leaves as planned, or as an owner whose standby
-is silent.  Claims are told in heartbeats, copied to another daemon, and
-settled by `transitions` when the table is back.
+"""Serving of slots while the table service is unavailable.
+
+The roster row cannot be changed during an outage of the table.  A daemon then
+*claims* a slot, under a higher version within the epoch, to serve it in place
+of a silent owner or of an owner that stops as planned, or to continue as the
+owner without its silent standby.  Heartbeats broadcast the claims, each claimed
+slot is copied to another daemon, and `transitions` writes the claims to the
+roster row when the table is available again.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 log = logging.getLogger('woadrun.outage')
 
-SEND_TIMEOUT = 3.0
-FORGET_TIMEOUT = 1.0
+OFFER_TIMEOUT_SECONDS = 3.0
+FORGET_TIMEOUT_SECONDS = 1.0
 
 
 class Outage:
-  """The claims that this daemon makes, copies and offers."""
+  """Claims, replicates and offers slots while the table is unavailable."""
 
   def __init__(
     self,
@@ -43,54 +44,61 @@
     self._config = config
     self._members = members
     self._links = links
-    self._held = held
+    self._ownership = held
     self._address = config.daemon.address
 
-  # --- Leaving slots to their standbys while the table is out ---------------
+  # --- Handover to standbys while the table is unavailable ------------------
 
   async def offer(self, numbers: Iterable[int], target: str) -> None:
-    """Leaves slots to their standby, which serves them without the table.
+    """Offers slots to their standby, which claims them.
 
-    Whether or not its answer arrives, one of the two goes on: a standby
-    that claims a slot acknowledges nothing more of this owner's.
+    Exactly one of the two daemons can commit records, whether or not the answer
+    arrives: a standby that claims a slot acknowledges no further batches of the
+    previous owner.
     """
     held = [
       h
       for n in numbers
-      if (h := self._held.holding_by_slot.get(n)) and h.standby == target
+      if (h := self._ownership.holding_by_slot.get(n)) and h.standby == target
     ]
     for holding in held:
       holding.opened.clear()
     try:
       for holding in held:
-        await slots.wait_settled(holding, self._config.timing.commit)
-      await self._held.announce(held, target)
+        await slots.wait_until_committed(holding, self._config.timing.commit)
+      await self._ownership.send_running_calls(held, target)
       offer = messages.Offer(
         sender=self._address,
         version_by_slot={h.number: h.version for h in held},
       )
       taken = await self._links.post(
-        target, 'offer', offer, type=messages.Offer, timeout=SEND_TIMEOUT
+        target,
+        'offer',
+        offer,
+        type=messages.Offer,
+        timeout=OFFER_TIMEOUT_SECONDS,
       )
       for number, claim in taken.version_by_slot.items():
         self._members.directory.note_claim(self._members.domain, number, claim)
-      self._held.yield_slots(taken.version_by_slot)
+      self._ownership.yield_slots(taken.version_by_slot)
     finally:
       for holding in held:
         holding.opened.set()
 
   def take_offer(self, offer: messages.Offer) -> messages.Offer:
-    """Returns which offered slots this daemon serves from now on."""
+    """Claims offered slots and returns those that this daemon serves."""
     taken = {
       number: replica
       for number, version in offer.version_by_slot.items()
-      if (replica := self._held.replica_by_slot.get(number)) is not None
+      if (replica := self._ownership.replica_by_slot.get(number)) is not None
       and (replica.owner, replica.version) == (offer.sender, version)
     }
     if taken:
-      log.warning('%s leaves %d slots here.', offer.sender, len(taken))
-    self._serve(taken)
-    claims = self._held.get_claims()
+      log.warning(
+        '%s offers %d slots; claiming them.', offer.sender, len(taken)
+      )
+    self._claim_replicas(taken)
+    claims = self._ownership.get_claims()
     return messages.Offer(
       sender=self._address,
       version_by_slot={
@@ -100,91 +108,105 @@
       },
     )
 
-  # --- Serving slots without the table's word -------------------------------
+  # --- Claiming slots -------------------------------------------------------
 
   def claim(self, taken: dict[int, slots.Replica]) -> bool:
-    """Returns whether this daemon takes slots over from a silent owner."""
+    """Claims slots of a silent owner; returns whether this daemon has a quorum.
+
+    An isolated daemon claims nothing.
+    """
     if not self._members.has_quorum():
-      log.warning('This daemon seems isolated and takes nothing over.')
+      log.warning('This daemon has no quorum and claims no slots.')
       return False
-    self._serve(taken)
+    self._claim_replicas(taken)
     return True
 
-  def _serve(self, taken: dict[int, slots.Replica]) -> None:
+  def _claim_replicas(self, taken: dict[int, slots.Replica]) -> None:
     for number, replica in taken.items():
-      if self._held.replica_by_slot.get(number) is replica:
-        self._held.begin_claim(number, replica)
+      if self._ownership.replica_by_slot.get(number) is replica:
+        self._ownership.begin_claim(number, replica)
+
+  async def drop_silent_standbys(self) -> None:
+    """Claims owned slots whose standby no other member can reach.
 
-  async def leave_silent_standbys(self) -> None:
-    """Goes on without the standbys that nobody hears."""
+    Does nothing while the table is available.
+    """
     if self._members.is_platform_up():
       return
     silent = self._members.get_silent()
-    standbys = {h.standby for h in self._held.holding_by_slot.values()} & silent
+    standbys = {
+      h.standby for h in self._ownership.holding_by_slot.values()
+    } & silent
     for standby in sorted(standbys):
-      await self._keep_alone(standby)
+      await self._continue_without_standby(standby)
 
-  async def _keep_alone(self, standby: str) -> None:
-    # The table is out and the standby is silent: go on without it.
+  async def _continue_without_standby(self, standby: str) -> None:
     if not self._members.has_quorum():
       return
     if await self._members.is_heard_by_others(standby):
       return
-    for holding in self._held.holding_by_slot.values():
+    for holding in self._ownership.holding_by_slot.values():
       if holding.standby == standby:
-        log.warning('Slot %d goes on without %s.', holding.number, standby)
+        log.warning(
+          'Slot %d continues without its standby %s.', holding.number, standby
+        )
         holding.claim(self._address)
         holding.settle(holding.state.sequence, slots.Held.NOWHERE)
 
-  # --- A new standby while the table is out ---------------------------------
+  # --- Temporary standbys while the table is unavailable --------------------
 
-  async def cover_claims(self) -> None:
-    """Copies slots that are served without the table to another daemon.
+  async def replicate_claims(self) -> None:
+    """Copies claimed slots to a temporary standby.
 
-    The other one of the pair that the table names comes first: with it
-    actions go on too.
+    The other daemon of the pair in the roster is preferred, because actions can
+    be committed with it as well.
     """
-    numbers_by_helper: dict[str, list[int]] = {}
-    for number, holding in self._held.holding_by_slot.items():
-      helper = self._choose_helper(holding) if holding.is_claimed else ''
-      if helper and helper != holding.standby:
-        numbers_by_helper.setdefault(helper, []).append(number)
-    for helper, numbers in sorted(numbers_by_helper.items()):
-      await asyncio.gather(*(self._cover(n, helper) for n in numbers))
-
-  def _choose_helper(self, holding: slots.Holding) -> str:
+    numbers_by_standby: dict[str, list[int]] = {}
+    for number, holding in self._ownership.holding_by_slot.items():
+      standby = (
+        self._choose_temporary_standby(holding) if holding.is_claimed else ''
+      )
+      if standby and standby != holding.standby:
+        numbers_by_standby.setdefault(standby, []).append(number)
+    for standby, numbers in sorted(numbers_by_standby.items()):
+      await asyncio.gather(
+        *(self._replicate_claim(n, standby) for n in numbers)
+      )
+
+  def _choose_temporary_standby(self, holding: slots.Holding) -> str:
     unfit = self._members.get_unfit()
     known = self._members.roster
     entry = known.slots[holding.number]
-    for mate in (entry.owner, entry.standby):
-      if mate not in ('', self._address) and mate not in unfit:
-        return mate
+    for member in (entry.owner, entry.standby):
+      if member not in ('', self._address) and member not in unfit:
+        return member
     if holding.standby and holding.standby not in unfit:
       return holding.standby
     return roster.choose_standby(
       known, holding.number, owner=self._address, unfit=unfit
     )
 
-  async def _cover(self, number: int, helper: str) -> None:
-    holding = self._held.holding_by_slot.get(number)
+  async def _replicate_claim(self, number: int, standby: str) -> None:
+    holding = self._ownership.holding_by_slot.get(number)
     if holding is None or not holding.opened.is_set():
       return
     holding.opened.clear()
     try:
       if holding.standby:
-        # It must not take over from a copy that falls behind.
-        await self._dismiss(holding)
+        # The previous standby gets no further batches.  It must drop its copy
+        # so that it cannot take the slot over from an outdated one.
+        await self._release_standby(holding)
       sequence = holding.state.sequence
-      await self._held.copy(holding, helper)
-      holding.standby = helper
-      self._held.note_copied(holding, sequence)
-      log.info('Slot %d is copied to %s.', number, helper)
+      await self._ownership.send_copy(holding, standby)
+      holding.standby = standby
+      self._ownership.mark_replicated(holding, sequence)
+      log.info('Slot %d was copied to temporary standby %s.', number, standby)
     except errors.WoadrunError as error:
-      log.debug('Slot %d not copied: %s', number, error)
+      log.debug('Slot %d not copied to temporary standby: %s', number, error)
     finally:
       holding.opened.set()
 
-  async def _dismiss(self, holding: slots.Holding) -> None:
+  async def _release_standby(self, holding: slots.Holding) -> None:
     message = messages.Sync(
       sender=self._address,
       slot=holding.number,
@@ -196,6 +218,6 @@
       'sync/forget',
       message,
       type=messages.Done,
-      timeout=FORGET_TIMEOUT,
+      timeout=FORGET_TIMEOUT_SECONDS,
     )
     holding.standby = ''
--- a/src/woadrun/process/ownership.py
+++ b/src/woadrun/process/ownership.py
@@ -1,9 +1,10 @@
-"""Who serves a slot, and how it passes from one daemon to another.
+"""Ownership of slots: commits, replication to standbys and changes of owner.
 
-A batch of records counts as committed once the slot's standby has it
-under the slot's epoch.  A standby that takes over first stops to
-acknowledge the old epoch; so no clock is trusted, and an owner that was
-frozen finds out before any effect.  The roster row says who won.
+A batch of records is committed once the slot's standby has acknowledged it
+under the slot's epoch.  A standby stops acknowledging the old epoch before it
+takes over.  The protocol therefore relies on no clock, and an owner that was
+frozen learns of its replacement before it causes any effect.  The roster row
+decides between competing owners.
 """
 
 from __future__ import annotations
@@ -32,19 +33,20 @@
 
 log = logging.getLogger('woadrun.ownership')
 
-SYNC_TIMEOUT = 3.0
-ANNOUNCE_TIMEOUT = 3.0
-# A slot whose standby acknowledged something so lately is surely ours.
-CONFIRMED_SECONDS = 1.0
-# The part of the platform's writes that checkpoints may take.
-CHECKPOINT_SHARE = 0.2
+SYNC_TIMEOUT_SECONDS = 3.0
+HANDOVER_TIMEOUT_SECONDS = 3.0
+# Ownership of a slot needs no new confirmation within this time of its last
+# acknowledgement.
+CONFIRMATION_TTL_SECONDS = 1.0
+# Share of the platform's write rate that checkpoints may use.
+CHECKPOINT_WRITE_SHARE = 0.2
 
 # Called when this daemon becomes the owner of a slot.
 OwnedListener = Callable[[slots.Holding], None]
 
 
 class Ownership(mode.Service):
-  """The slots of this daemon, and the steps that change who holds them."""
+  """The slots that this daemon owns or replicates, and their transitions."""
 
   def __init__(
     self,
@@ -66,12 +68,12 @@
       members=members,
       address=self._address,
       answers=self._answers,
-      is_held=lambda number: number in self.holding_by_slot,
+      is_owned=lambda number: number in self.holding_by_slot,
     )
     self.replica_by_slot = self.copies.replica_by_slot
     self._loading: set[int] = set()
-    # The epochs at which slots were left to their standbys.
-    self._yielded: dict[int, int] = {}
+    # The epoch, by slot, at which a claimer replaced this daemon as the owner.
+    self._yielded_epoch_by_slot: dict[int, int] = {}
     self.on_owned: OwnedListener = lambda holding: None
     self.get_running: Callable[[int], list[tuple[int, str, str]]] = (
       lambda slot: []
@@ -81,31 +83,35 @@
       address=self._address,
       links=links,
       timeout=config.timing.commit,
-      on_ack=self._note_ack,
-      is_wanted=self._is_wanted,
+      on_ack=self._handle_ack,
+      is_pending=self._is_pending,
     )
     members.listeners.append(self._on_roster)
     members.directory.claims = self.get_claims
 
   async def on_stop(self) -> None:
-    """Ends the streams to the standbys."""
+    """Stops the replication streams to the standbys."""
     await self.streams.on_stop()
 
   # --- Committing -----------------------------------------------------------
 
   async def open(self, number: int) -> slots.Holding:
-    """Returns an owned slot that can be appended to right now.
+    """Returns an owned slot that accepts appends.
 
-    Waits while the slot changes hands.  Raises `not_owner` otherwise.
+    Waits while the slot is being loaded, copied or transferred.  Raises
+    `not_owner` if this daemon does not own the slot, or if the wait exceeds
+    the hold time.
     """
     deadline = time.monotonic() + self._config.timing.hold
     while True:
       holding = self.holding_by_slot.get(number)
-      is_coming = number in self._loading
+      is_loading = number in self._loading
       if holding is not None and holding.opened.is_set():
         return holding
-      if (holding is None and not is_coming) or time.monotonic() > deadline:
-        raise slots.make_not_owner(f'Slot {number} is not owned here.')
+      if (holding is None and not is_loading) or time.monotonic() > deadline:
+        raise slots.make_not_owner(
+          f'Slot {number} is not served by this daemon.'
+        )
       if holding is None:
         await asyncio.sleep(self._config.timing.heartbeat / 10)
         continue
@@ -115,9 +121,14 @@
   def append(
     self, holding: slots.Holding, records: list[program.Record]
   ) -> slots.Ticket:
-    """Returns the ticket of records that are applied here at once."""
+    """Applies records to an owned slot and returns their ticket.
+
+    The ticket completes once the records are replicated or stored elsewhere.
+    """
     if self.holding_by_slot.get(holding.number) is not holding:
-      raise slots.make_not_owner(f'Slot {holding.number} was given away.')
+      raise slots.make_not_owner(
+        f'Slot {holding.number} has another owner now.'
+      )
     ticket = holding.append(
       records,
       answers=self._answers,
@@ -127,14 +138,14 @@
     if holding.standby:
       self.streams.send(holding.standby, ticket.append)
     else:
-      self.add_future(self._settle_alone(holding, ticket))
+      self.add_future(self._commit_without_standby(holding, ticket))
     return ticket
 
   async def settle(self, ticket: slots.Ticket, *, is_strong: bool) -> None:
     """Returns once a batch is committed.
 
-    A strong commit, that an action needs, has to be held by the standby
-    or the platform; without either only the others are let through.
+    A strong commit, which an action requires, must be stored by the standby or
+    the platform.  If neither stores the batch, only other commits succeed.
     """
     await self._members.confirm()
     retry_after = self._config.timing.silent_after
@@ -144,21 +155,22 @@
       )
     except TimeoutError:
       raise slots.make_not_committed(
-        'No other daemon holds the record yet.', retry_after=retry_after
+        'No other daemon has acknowledged the record yet.',
+        retry_after=retry_after,
       ) from None
     if is_strong and held < slots.Held.PLATFORM:
       raise slots.make_not_committed(
-        'Neither the standby nor the platform can hold the intent.',
+        'Neither the standby nor the platform can store the intent.',
         retry_after=retry_after,
       )
 
   async def confirm(self, holding: slots.Holding) -> None:
-    """Returns once a fresh round trip shows that the slot is still ours."""
+    """Returns once a recent round trip shows that this daemon owns the slot."""
     age = time.monotonic() - holding.confirmed_at
-    if age > CONFIRMED_SECONDS:
+    if age > CONFIRMATION_TTL_SECONDS:
       await self.settle(self.append(holding, []), is_strong=False)
 
-  async def _settle_alone(
+  async def _commit_without_standby(
     self, holding: slots.Holding, ticket: slots.Ticket
   ) -> None:
     wait = self._config.timing.commit / 2
@@ -173,7 +185,7 @@
       return
     ticket.settle(slots.Held.NOWHERE)
 
-  def _is_wanted(self, standby: str, append: messages.Append) -> bool:
+  def _is_pending(self, standby: str, append: messages.Append) -> bool:
     holding = self.holding_by_slot.get(append.slot)
     return (
       holding is not None
@@ -182,39 +194,46 @@
       and any(t.append.sequence == append.sequence for t in holding.tickets)
     )
 
-  def _note_ack(self, standby: str, ack: messages.Ack) -> None:
+  def _handle_ack(self, standby: str, ack: messages.Ack) -> None:
     holding = self.holding_by_slot.get(ack.slot)
     if holding is None or holding.standby != standby:
       return
     if ack.verdict == slots.Verdict.OK:
-      holding.settle(ack.sequence, self._get_weight(holding))
+      holding.settle(ack.sequence, self._get_ack_level(holding))
     elif ack.verdict == slots.Verdict.GAP:
       self.add_future(self._resync(holding))
     else:
-      holding.fail(slots.make_not_owner(f'Slot {ack.slot} was taken over.'))
-      self.add_future(self._refresh())
+      holding.fail(
+        slots.make_not_owner(
+          f'Slot {ack.slot} was taken over by another daemon.'
+        )
+      )
+      self.add_future(self._refresh_roster())
 
-  def _get_weight(self, holding: slots.Holding) -> slots.Held:
-    """Returns what an acknowledgement of the slot's standby counts for.
+  def _get_ack_level(self, holding: slots.Holding) -> slots.Held:
+    """Returns the commit level of an acknowledgement by the slot's standby.
 
-    While the table is out only the other one of the pair that the table
-    names can vouch that nobody else acts for the slot.
+    While the table is unavailable, only the other daemon of the pair in the
+    roster can guarantee that no other daemon serves the slot.
     """
     entry = self._members.roster.slots[holding.number]
     is_pair = holding.standby in (entry.owner, entry.standby)
-    is_sure = is_pair or not holding.is_claimed
-    return slots.Held.STANDBY if is_sure else slots.Held.HELPER
+    is_certain = is_pair or not holding.is_claimed
+    return slots.Held.STANDBY if is_certain else slots.Held.HELPER
 
-  async def _refresh(self) -> None:
+  async def _refresh_roster(self) -> None:
     try:
       await self._members.refresh()
     except errors.WoadrunError as error:
-      log.debug('Roster not read: %s', error)
+      log.debug('Roster read failed: %s', error)
 
-  # --- The roster in force --------------------------------------------------
+  # --- Applying the roster --------------------------------------------------
 
   def get_claims(self) -> dict[int, roster.Version]:
-    """Returns the slots served without the table's word, with the version."""
+    """Returns the versions of the claimed slots, by slot number.
+
+    A claimed slot is served here although the roster row does not say so.
+    """
     return {
       number: holding.version
       for number, holding in self.holding_by_slot.items()
@@ -222,7 +241,7 @@
     }
 
   def find_copied(self, message: messages.Copies) -> messages.Copies:
-    """Returns which slots this daemon serves as claims or has a copy of."""
+    """Returns the requested slots that this daemon claims or has a copy of."""
     known = self._members.roster.slots
     claims = self.get_claims()
     copied = [
@@ -239,59 +258,59 @@
   def _on_roster(self, new: roster.Roster) -> None:
     for number, entry in enumerate(new.slots):
       if entry.owner == self._address:
-        self._hold(number, entry)
+        self._own(number, entry)
       else:
-        self._give_up(number, entry)
+        self._release(number, entry)
 
-  def _hold(self, number: int, entry: roster.Slot) -> None:
+  def _own(self, number: int, entry: roster.Slot) -> None:
     holding = self.holding_by_slot.get(number)
     if holding is not None:
-      self._follow(holding, entry)
+      self._update_pair(holding, entry)
       return
-    if self._yielded.get(number) == entry.epoch:
-      # The standby serves the slot, and will tell the table so.
+    if self._yielded_epoch_by_slot.get(number) == entry.epoch:
+      # The standby claimed the slot and will record that in the table.
       return
-    copy = self.copies.take(number, entry.owner_before)
+    copy = self.copies.pop(number, entry.owner_before)
     if copy is not None:
       holding = _make_holding(number, entry, copy.state)
-      self._begin(holding, copy.tail)
-      self.add_future(self._check_standby(holding))
+      self._start_serving(holding, copy.tail)
+      self.add_future(self._probe_standby(holding))
     elif entry.before == 0:
-      # Nobody has ever held the slot: it is empty.
-      self._begin(_make_holding(number, entry, program.SlotState()))
+      # No daemon has owned the slot before, so it is empty.
+      self._start_serving(_make_holding(number, entry, program.SlotState()))
     elif number not in self._loading:
       self._loading.add(number)
-      self.add_future(self._load(number))
+      self.add_future(self._load_from_platform(number))
 
-  def _follow(self, holding: slots.Holding, entry: roster.Slot) -> None:
+  def _update_pair(self, holding: slots.Holding, entry: roster.Slot) -> None:
     if holding.epoch == entry.epoch:
       return
     holding.version = roster.Version(entry.epoch)
     holding.standby = entry.standby
     holding.is_claimed = False
-    standby, sequence = holding.synced
+    standby, sequence = holding.copied_to
     if standby and standby == entry.standby:
       holding.settle(sequence, slots.Held.STANDBY)
     elif entry.standby:
-      self.add_future(self._check_standby(holding))
+      self.add_future(self._probe_standby(holding))
     for ticket in holding.tickets:
-      self.add_future(self._settle_alone(holding, ticket))
+      self.add_future(self._commit_without_standby(holding, ticket))
 
-  async def _check_standby(self, holding: slots.Holding) -> None:
+  async def _probe_standby(self, holding: slots.Holding) -> None:
     """Sends an empty batch, which a standby without a copy reports as a gap.
 
-    The write of a pair may succeed although its answer is lost and the standby
-    was told to drop its copy.  A slot without calls would stay without a copy,
-    and nobody could take it over.
+    The write of a new pair may succeed although its answer is lost and the
+    owner then tells the standby to drop its copy.  Without this check, a slot
+    without calls would stay without a copy, and no daemon could take it over.
     """
     try:
       current = await self.open(holding.number)
       if current.standby:
         self.append(current, [])
     except errors.WoadrunError as error:
-      log.debug('Slot %d not checked: %s', holding.number, error)
+      log.debug('Standby check of slot %d failed: %s', holding.number, error)
 
-  def _begin(
+  def _start_serving(
     self, holding: slots.Holding, tail: Iterable[messages.Append] = ()
   ) -> None:
     self._store.begin(holding.number, tail)
@@ -300,65 +319,70 @@
     self.on_owned(holding)
 
   def begin_claim(self, number: int, replica: slots.Replica) -> None:
-    """Serves a slot that this daemon stood by for, without the table's word."""
+    """Starts serving a slot from the local replica, without a table write."""
     del self.replica_by_slot[number]
     holding = slots.Holding(
       number=number, version=replica.version, standby='', state=replica.state
     )
     holding.claim(self._address)
-    self._begin(holding, replica.tail)
+    self._start_serving(holding, replica.tail)
 
-  def _give_up(self, number: int, entry: roster.Slot) -> None:
+  def _release(self, number: int, entry: roster.Slot) -> None:
     holding = self.holding_by_slot.get(number)
     if holding and holding.is_claimed and holding.epoch == entry.epoch:
-      # Only other slots changed; the table does not know of the claim yet.
+      # The roster changed other slots only and does not include the claim yet.
       return
     self.holding_by_slot.pop(number, None)
     self._loading.discard(number)
     if holding is not None:
-      self._drop(holding, entry)
+      self._stop_serving(holding, entry)
     if holding is not None and holding.epoch == entry.before:
-      # What this daemon has not written yet it goes on to write.
-      self.copies.keep(number, entry, holding.state)
+      # The storage of this daemon still writes the batches that it has queued
+      # for the platform.
+      self.copies.become_standby(number, entry, holding.state)
     else:
-      self.copies.follow(number, entry)
+      self.copies.apply_entry(number, entry)
 
-  def _drop(self, holding: slots.Holding, entry: roster.Slot) -> None:
-    log.info('Slot %d goes to %s.', holding.number, entry.owner)
+  def _stop_serving(self, holding: slots.Holding, entry: roster.Slot) -> None:
+    log.info('Slot %d is now served by %s.', holding.number, entry.owner)
     if holding.is_claimed and holding.standby != entry.owner:
-      self._report_fork(holding)
-    holding.fail(slots.make_not_owner(f'Slot {holding.number} was taken.'))
+      self._record_fork(holding)
+    holding.fail(
+      slots.make_not_owner(f'Slot {holding.number} has another owner now.')
+    )
     holding.opened.set()
 
-  def _report_fork(self, holding: slots.Holding) -> None:
-    # Two ends of a history exist; neither is dropped silently.
+  def _record_fork(self, holding: slots.Holding) -> None:
+    # The slot has two divergent histories; neither is discarded silently.
     self.forks += 1
-    log.error('Slot %d has a second end at %s.', holding.number, self._address)
+    log.error(
+      'Slot %d has a divergent history at %s.', holding.number, self._address
+    )
     self.add_future(self._store.keep_fork(holding.number, holding.state))
 
-  async def _load(self, number: int) -> None:
-    # No copy is left in the domain.  An owner that is cut off from most of
-    # it notices within this time and stops.
+  async def _load_from_platform(self, number: int) -> None:
+    # The domain has no copy of the slot.  An owner that is cut off from most of
+    # the domain detects that within this delay and stops serving the slot.
     await asyncio.sleep(self._config.timing.silent_after)
     while number in self._loading:
       try:
         state = await self._store.load(number, answers=self._answers)
         break
       except errors.WoadrunError as error:
-        log.warning('Slot %d not loaded: %s', number, error.message)
+        log.warning('Load of slot %d failed: %s', number, error.message)
         await asyncio.sleep(self._config.timing.silent_after)
     entry = self._members.roster.slots[number]
     if number in self._loading and entry.owner == self._address:
       self._loading.discard(number)
       log.warning('Slot %d was loaded from the platform.', number)
-      self._begin(_make_holding(number, entry, state))
+      self._start_serving(_make_holding(number, entry, state))
 
   # --- Copying ---------------------------------------------------------------
 
-  async def copy(
+  async def send_copy(
     self, holding: slots.Holding, standby: str, *, copy_id: str = ''
   ) -> None:
-    """Sends an owned slot's state to a standby to be."""
+    """Sends an owned slot's state to a future standby."""
     message = messages.Sync(
       sender=self._address,
       slot=holding.number,
@@ -367,12 +391,12 @@
       tail=self._store.get_unwritten(holding.number),
       copy_id=copy_id,
     )
-    await self._send_copy(message, standby)
+    await self._post_copy(message, standby)
 
-  async def copy_replica(
+  async def send_replica(
     self, number: int, replica: slots.Replica, standby: str
   ) -> None:
-    """Sends the state of a slot that is being taken over."""
+    """Sends the replica of a slot that this daemon is taking over."""
     message = messages.Sync(
       sender=self._address,
       slot=number,
@@ -380,15 +404,20 @@
       state=replica.state,
       tail=list(replica.tail),
     )
-    await self._send_copy(message, standby)
+    await self._post_copy(message, standby)
 
-  async def _send_copy(self, message: messages.Sync, standby: str) -> None:
+  async def _post_copy(self, message: messages.Sync, standby: str) -> None:
     await self._links.post(
-      standby, 'sync', message, type=messages.Done, timeout=SYNC_TIMEOUT
+      standby, 'sync', message, type=messages.Done, timeout=SYNC_TIMEOUT_SECONDS
     )
 
-  async def announce(self, held: list[slots.Holding], target: str) -> None:
-    """Tells a receiver of slots which of their calls are finished here."""
+  async def send_running_calls(
+    self, held: list[slots.Holding], target: str
+  ) -> None:
+    """Sends the future owner of slots the calls that this daemon completes.
+
+    The calls already run here and are not moved with their slots.
+    """
     requests = [r for h in held for r in self.get_running(h.number)]
     if not requests:
       return
@@ -398,7 +427,11 @@
       requests=requests,
     )
     await self._links.post(
-      target, 'handover', message, type=messages.Done, timeout=ANNOUNCE_TIMEOUT
+      target,
+      'handover',
+      message,
+      type=messages.Done,
+      timeout=HANDOVER_TIMEOUT_SECONDS,
     )
 
   async def _resync(self, holding: slots.Holding) -> None:
@@ -408,31 +441,32 @@
     holding.opened.clear()
     sequence = holding.state.sequence
     try:
-      await self.copy(holding, holding.standby)
-      self.note_copied(holding, sequence)
+      await self.send_copy(holding, holding.standby)
+      self.mark_replicated(holding, sequence)
     except errors.WoadrunError as error:
-      log.debug('Slot %d not copied: %s', holding.number, error)
+      log.debug('Slot %d not copied to standby: %s', holding.number, error)
     finally:
       holding.is_resyncing = False
       holding.opened.set()
 
-  def note_copied(self, holding: slots.Holding, sequence: int) -> None:
-    """Marks what a copy held as committed: the slot's standby has it."""
-    holding.settle(sequence, self._get_weight(holding))
+  def mark_replicated(self, holding: slots.Holding, sequence: int) -> None:
+    """Marks the batches that a copy contains as replicated to the standby."""
+    holding.settle(sequence, self._get_ack_level(holding))
 
   def yield_slots(self, claims: dict[int, roster.Version]) -> None:
-    """Gives up what another daemon serves while the table is out.
+    """Stops serving slots that another daemon claims with a newer version.
 
-    A copy of the time before its claim is of no use any more.
+    Replicas that are older than the claims are dropped, since they may miss
+    later records.
     """
     for number, claim in claims.items():
-      self.copies.drop_before(number, claim)
+      self.copies.drop_superseded(number, claim)
       holding = self.holding_by_slot.get(number)
-      if holding is not None and copies.is_after(claim, holding.version):
+      if holding is not None and copies.supersedes(claim, holding.version):
         del self.holding_by_slot[number]
-        self._yielded[number] = claim.epoch
+        self._yielded_epoch_by_slot[number] = claim.epoch
         entry = roster.Slot(owner=claim.claimer, epoch=claim.epoch)
-        self._drop(holding, entry)
+        self._stop_serving(holding, entry)
 
   # --- Checkpoints ----------------------------------------------------------
 
@@ -443,27 +477,28 @@
       try:
         await self._checkpoint_all()
       except errors.WoadrunError as error:
-        log.debug('Checkpoint not written: %s', error)
+        log.debug('Checkpoint write failed: %s', error)
 
   def _get_checkpoint_interval(self) -> float:
-    # All slots of all daemons share a part of the platform's writes.
+    # The checkpoints of all slots of all daemons share a part of the platform's
+    # write rate.
     slots = len(self.holding_by_slot) * self._members.count_daemons()
-    budget = self._config.platform.writes_per_second * CHECKPOINT_SHARE
+    budget = self._config.platform.writes_per_second * CHECKPOINT_WRITE_SHARE
     return pace.get_interval(self._config.timing.checkpoint, slots, budget)
 
   async def _checkpoint_all(self) -> None:
     for number, holding in list(self.holding_by_slot.items()):
-      if holding.checkpointed != holding.state.sequence:
+      if holding.checkpoint_sequence != holding.state.sequence:
         sequence = holding.state.sequence
         await self._store.checkpoint(number, holding.version, holding.state)
-        holding.checkpointed = sequence
+        holding.checkpoint_sequence = sequence
     known = self._members.roster
     live = set(known.incarnations) - self._members.get_silent()
     if roster.rank('clean', live)[:1] == [self._address]:
       await self._store.clean(len(known.slots))
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of the slots as plain data."""
     return {
       'owned': {
         str(n): {
--- a/src/woadrun/process/replication.py
+++ b/src/woadrun/process/replication.py
@@ -1,7 +1,7 @@
-"""The streams of records from an owner to its standbys.
+"""Replication streams of batches of records from an owner to its standbys.
 
-One task for each standby sends what has gathered since its last message:
-the busier a slot, the larger the groups.
+One task per standby sends all batches that were queued since its previous
+message, so that groups grow with the load.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 log = logging.getLogger('woadrun.replication')
 
-RETRY_SECONDS = 0.05
-MOST_BATCHES = 500
+RETRY_DELAY_SECONDS = 0.05
+MAX_BATCHES_PER_MESSAGE = 500
 
-# Called with the standby and its word on a batch.
+# Called with the standby and its acknowledgement of a batch.
 AckListener = Callable[[str, messages.Ack], None]
-# Tells whether a batch still has to go to the standby.
-IsWanted = Callable[[str, messages.Append], bool]
+# Returns whether a batch still has to be sent to the standby.
+IsPending = Callable[[str, messages.Append], bool]
 
 
 class Replication(mode.Service):
-  """All streams of this daemon, by the standby's address."""
+  """Sends batches to the standbys of this daemon's slots."""
 
   def __init__(
     self,
@@ -37,39 +37,39 @@
     links: peers.Peers,
     timeout: float,
     on_ack: AckListener,
-    is_wanted: IsWanted,
+    is_pending: IsPending,
   ) -> None:
     super().__init__()
     self._address = address
     self._links = links
     self._timeout = timeout
     self._on_ack = on_ack
-    self._is_wanted = is_wanted
+    self._is_pending = is_pending
     self._queue_by_standby: dict[str, list[messages.Append]] = {}
     self._task_by_standby: dict[str, asyncio.Task] = {}
     self.sent = 0
 
   def send(self, standby: str, append: messages.Append) -> None:
-    """Queues a batch for a standby."""
+    """Queues a batch for a standby and starts its stream if necessary."""
     self._queue_by_standby.setdefault(standby, []).append(append)
     task = self._task_by_standby.get(standby)
     if task is None or task.done():
       self._task_by_standby[standby] = asyncio.ensure_future(self._run(standby))
 
   async def on_stop(self) -> None:
-    """Ends all streams."""
+    """Cancels the tasks of all streams."""
     for task in self._task_by_standby.values():
       task.cancel()
 
   async def _run(self, standby: str) -> None:
     while self._queue_by_standby.get(standby):
       queue = self._queue_by_standby[standby]
-      wanted = [a for a in queue if self._is_wanted(standby, a)]
-      batch = wanted[:MOST_BATCHES]
-      self._queue_by_standby[standby] = wanted[MOST_BATCHES:]
+      pending = [a for a in queue if self._is_pending(standby, a)]
+      batch = pending[:MAX_BATCHES_PER_MESSAGE]
+      self._queue_by_standby[standby] = pending[MAX_BATCHES_PER_MESSAGE:]
       if batch and not await self._send_batch(standby, batch):
         self._queue_by_standby[standby][:0] = batch
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(RETRY_DELAY_SECONDS)
 
   async def _send_batch(
     self, standby: str, batch: list[messages.Append]
@@ -84,7 +84,7 @@
         timeout=self._timeout,
       )
     except errors.WoadrunError as error:
-      log.debug('Records not sent: %s', error)
+      log.debug('Replication to a standby failed, will retry: %s', error)
       return False
     self.sent += len(batch)
     for ack in answer.acks:
--- a/src/woadrun/process/slots.py
+++ b/src/woadrun/process/slots.py
@@ -1,6 +1,7 @@
-"""What a daemon holds of its slots: as owner, as standby or to be.
+"""Slot state of a daemon: as owner, as standby or as future standby.
 
-Only data and the steps that need no other daemon; `ownership` acts on it.
+This module contains the data and the operations that involve no other daemon.
+`ownership` communicates with the other daemons.
 """
 
 from __future__ import annotations
@@ -18,7 +19,11 @@
 
 
 class Verdict(enum.StrEnum):
-  """A standby's word on a batch."""
+  """A standby's response to a batch.
+
+  `GAP` asks the owner for a copy of the slot.  `STALE` rejects a batch of an
+  owner that was replaced.
+  """
 
   OK = 'ok'
   GAP = 'gap'
@@ -26,10 +31,11 @@
 
 
 class Held(enum.IntEnum):
-  """Where a committed batch is kept besides its owner, weakest first."""
+  """Where a batch is stored besides its owner, weakest guarantee first."""
 
   NOWHERE = 0
-  # A daemon that has no say in who serves the slot.
+  # A daemon outside the pair in the roster.  It cannot rule out that another
+  # daemon serves the slot.
   HELPER = 1
   PLATFORM = 2
   STANDBY = 3
@@ -37,21 +43,22 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Ticket:
-  """A batch under way to being held elsewhere."""
+  """A batch that waits until another daemon or the platform stores it."""
 
   append: messages.Append
   held: asyncio.Future[Held]
 
   def settle(self, held: Held) -> None:
-    """Marks the batch as held."""
+    """Completes the ticket with where the batch is stored."""
     if not self.held.done():
       self.held.set_result(held)
 
   def fail(self, error: errors.WoadrunError) -> None:
-    """Marks the batch as never to be held under this owner."""
+    """Fails the ticket: this owner cannot commit the batch any more."""
     if not self.held.done():
       self.held.set_exception(error)
-      # Nobody may be waiting any more; that is no fault.
+      # Marks the exception as retrieved: it is not an error if no caller waits
+      # for the batch any more.
       self.held.exception()
 
 
@@ -59,10 +66,12 @@
 class Holding:
   """A slot that this daemon owns.
 
-  While `opened` is not set, nothing may be appended: a copy of the state
-  is under way, or the slot changes hands.  `is_claimed` says that the
-  slot was taken, or is kept without its standby, while the table is out;
-  `version` tells this from the time before.
+  While `opened` is not set, the slot accepts no appends because its state is
+  being copied or the slot is being transferred.  `is_claimed` is set if this
+  daemon took the slot over, or continues without its standby, while the table
+  is unavailable.  `version` then has a higher claim than before.  `copied_to`
+  is the standby and the sequence number of a copy sent before a change of the
+  pair.
   """
 
   number: int
@@ -71,18 +80,18 @@
   state: program.SlotState
   opened: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
   tickets: list[Ticket] = dataclasses.field(default_factory=list)
-  synced: tuple[str, int] = ('', 0)
+  copied_to: tuple[str, int] = ('', 0)
   is_claimed: bool = False
   is_resyncing: bool = False
   confirmed_at: float = float('-inf')
-  checkpointed: int = -1
+  checkpoint_sequence: int = -1
 
   def append(
     self, records: list[program.Record], *, answers: int, written: int = 0
   ) -> Ticket:
-    """Returns the ticket of a batch that is applied here at once."""
+    """Applies a batch to the local state and returns its ticket."""
     if not self.opened.is_set():
-      raise make_not_owner(f'Slot {self.number} is changing hands.')
+      raise make_not_owner(f'Slot {self.number} is being transferred.')
     self.state.apply(records, answers=answers)
     append = messages.Append(
       slot=self.number,
@@ -105,13 +114,13 @@
     return self.version.epoch
 
   def claim(self, claimer: str) -> None:
-    """Goes on without the table's word and without a standby."""
-    self.version = raise_claim(self.version, claimer)
+    """Claims the slot: serves it without a table write and a standby."""
+    self.version = increment_claim(self.version, claimer)
     self.standby = ''
     self.is_claimed = True
 
   def settle(self, sequence: int, held: Held) -> None:
-    """Marks all batches up to a sequence number as held."""
+    """Completes the tickets of all batches up to a sequence number."""
     self.confirmed_at = time.monotonic()
     for ticket in self.tickets:
       if ticket.append.sequence <= sequence:
@@ -119,7 +128,7 @@
     self.tickets = [t for t in self.tickets if not t.held.done()]
 
   def fail(self, error: errors.WoadrunError) -> None:
-    """Marks all batches under way as not committed."""
+    """Fails the tickets of all batches that are not committed yet."""
     for ticket in self.tickets:
       ticket.fail(error)
     self.tickets = []
@@ -129,10 +138,10 @@
 class Replica:
   """A standby's copy of a slot.
 
-  Once fenced it acknowledges nothing more of its version, so that an owner
-  that was only frozen can commit nothing when it wakes.  `tail` are the
-  batches that the platform may not have: should the owner die, this
-  daemon writes them.
+  A fenced replica acknowledges no further batches of its version, so that an
+  owner that was only frozen cannot commit anything when it resumes.  `tail`
+  holds the batches that the platform may not have yet.  This daemon writes them
+  if the owner dies.
   """
 
   owner: str
@@ -144,7 +153,7 @@
   is_fenced: bool = False
 
   def receive(self, append: messages.Append, *, answers: int) -> Verdict:
-    """Returns the word on a batch, which is applied if it is the next."""
+    """Applies a batch if it is the next one; returns the verdict on it."""
     if self.is_fenced or append.version != self.version:
       return Verdict.STALE
     if append.sequence <= self.state.sequence:
@@ -152,7 +161,8 @@
     if append.sequence > self.state.sequence + 1:
       return Verdict.GAP
     self.state.apply(append.records, answers=answers)
-    # Only from the front: in a long outage the tail is long.
+    # Batches are removed from the front only, since the tail is long in a long
+    # outage.
     while self.tail and self.tail[0].sequence <= append.written:
       self.tail.popleft()
     self.tail.append(append)
@@ -161,9 +171,10 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Learner:
-  """A copy sent ahead of a change of the pair, of the sender's version.
+  """A copy that an owner sent before a change of the pair.
 
-  `copy_id` tells it from others of the same version.
+  `version` is the owner's when it sent the copy.  `copy_id` distinguishes
+  copies of the same version.
   """
 
   sender: str
@@ -173,31 +184,35 @@
   copy_id: str = ''
 
 
-async def wait_settled(holding: Holding, timeout: float) -> None:
-  """Returns once nothing of a slot is under way to its standby."""
+async def wait_until_committed(holding: Holding, timeout: float) -> None:
+  """Returns once all batches of a slot are committed or failed.
+
+  Raises `not_committed` if that takes longer than `timeout` seconds.
+  """
   waiting = [ticket.held for ticket in holding.tickets]
   if waiting:
     await asyncio.wait(waiting, timeout=timeout)
   if any(not ticket.held.done() for ticket in holding.tickets):
     raise make_not_committed(
-      f'Slot {holding.number} has records under way.', retry_after=1.0
+      f'Slot {holding.number} has records that are not committed yet.',
+      retry_after=1.0,
     )
 
 
-def raise_claim(version: roster.Version, claimer: str) -> roster.Version:
-  """Returns the version at which a daemon serves a slot on its own."""
+def increment_claim(version: roster.Version, claimer: str) -> roster.Version:
+  """Returns the version under which a daemon claims a slot."""
   return roster.Version(version.epoch, version.claim + 1, claimer)
 
 
 def make_not_owner(message: str) -> errors.WoadrunError:
-  """Returns the refusal that sends a peer to look for the owner again."""
+  """Returns the error that makes a peer look up the owner again."""
   return errors.WoadrunError(errors.Code.NOT_OWNER, message, retry_after=0.1)
 
 
 def make_not_committed(
   message: str, *, retry_after: float
 ) -> errors.WoadrunError:
-  """Returns the refusal of a call whose record nobody else holds."""
+  """Returns the error for a call whose record is not stored elsewhere."""
   return errors.WoadrunError(
     errors.Code.NOT_COMMITTED, message, retry_after=retry_after
   )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Rosters and silence, without a network."""
+"""Tests of rosters and failure detection without a network."""
 
 import asyncio
 
@@ -48,9 +48,9 @@
   slots=strategies.integers(1, 128),
   chance=strategies.randoms(use_true_random=False),
 )
-def test_slots_are_shared_evenly_in_few_rounds(size, slots, chance):
+def test_slots_are_balanced_within_few_rounds(size, slots, chance):
   members = [f'm{n:02}' for n in range(size)]
-  # The worst start: one daemon came first and owns all.
+  # Worst case: a daemon that joined first owns all slots.
   known = make_roster(members, [chance.choice(members[:2])] * slots)
   for _ in range(2 * size.bit_length() + 2):
     plans = [roster.plan_give_away(known, m, unfit=set()) for m in members]
@@ -115,16 +115,16 @@
   )
 
 
-async def test_a_member_newly_watched_is_not_silent_at_once(monkeypatch):
+async def test_new_heartbeat_target_is_not_silent_at_once(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(SIZE)]
   found, clock = make_membership(monkeypatch, members[0])
   found.adopt(make_roster(members, members))
   for _ in range(30):
     clock.now += 1.0
-    for member in found._targets:
+    for member in found._heartbeat_targets:
       found.note_heartbeat(make_beat(member))
   assert not found.get_silent()
-  # A change of pairs makes others partners, unheard for long.
+  # A change of pairs adds a partner that this daemon has not heard from before.
   far = [members[0], members[12], *members]
   new = make_roster(members, far[:SIZE])
   slots = (roster.Slot(owner=members[0], standby=members[12]), *new.slots[1:])
@@ -133,35 +133,35 @@
       domain='north', version=2, incarnations=new.incarnations, slots=slots
     )
   )
-  assert members[12] in found._targets
+  assert members[12] in found._heartbeat_targets
   assert not found.get_silent()
   clock.now += 3.0
   assert members[12] in found.get_silent()
 
 
-async def test_a_late_event_loop_is_logged(monkeypatch, caplog):
-  """Without it no log tells whether a silent daemon was frozen or cut off."""
+async def test_event_loop_delay_is_logged(monkeypatch, caplog):
+  """Guards the only log line that tells a frozen daemon from a cut-off one."""
   found, _ = make_membership(monkeypatch, '127.0.0.1:8000')
-  found._note_late(0.1)
+  found._log_loop_delay(0.1)
   assert not caplog.records
-  found._note_late(5.3)
+  found._log_loop_delay(5.3)
   assert 'late by 5.3 s' in caplog.text
 
 
-async def test_a_rumour_of_silence_is_not_passed_on(monkeypatch):
+async def test_reported_suspicion_is_not_forwarded(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(SIZE)]
   found, clock = make_membership(monkeypatch, members[0])
   found.adopt(make_roster(members, members))
-  stranger = next(m for m in members[1:] if m not in found._targets)
-  teller = found._targets[0]
-  found.note_heartbeat(make_beat(teller, suspects=[stranger]))
-  assert stranger in found.get_silent()
-  assert stranger not in found.make_heartbeat().suspects
-  clock.now += membership.SUSPECT_SECONDS + 1.0
-  assert stranger not in found.get_silent()
+  suspect = next(m for m in members[1:] if m not in found._heartbeat_targets)
+  reporter = found._heartbeat_targets[0]
+  found.note_heartbeat(make_beat(reporter, suspects=[suspect]))
+  assert suspect in found.get_silent()
+  assert suspect not in found.make_heartbeat().suspects
+  clock.now += membership.SUSPICION_TTL_SECONDS + 1.0
+  assert suspect not in found.get_silent()
 
 
-async def test_a_claim_outlasts_changes_of_other_slots(monkeypatch):
+async def test_claim_survives_roster_changes_of_other_slots(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(3)]
   found, _ = make_membership(monkeypatch, members[0])
   held = ownership.Ownership(
@@ -191,7 +191,7 @@
   other = roster.Slot(owner=members[2], standby=members[0], epoch=2, before=1)
   found.adopt(make(2, [entries[0], other]))
   assert held.holding_by_slot == {0: claim} and claim.is_claimed
-  # The table's word on the claim itself ends it.
+  # Only a roster change of the claimed slot ends the claim.
   mine = roster.Slot(
     owner=members[0], standby=members[2], epoch=3, before=1, owner_before=1
   )
@@ -215,7 +215,7 @@
   return recovery.Recovery(run=runner.Runner(**parts), **parts)
 
 
-async def test_a_giver_that_started_anew_finishes_no_calls():
+async def test_calls_of_a_restarted_previous_owner_are_not_awaited():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
   run = make_recovery(found, None)
@@ -225,13 +225,13 @@
     sender=members[1], incarnation='earlier', requests=[(0, 'p', 'r')]
   )
   run.note_handover(message)
-  # The process that is heard now is another one: nobody is waited for.
+  # Another process runs at the address now, so the call is not awaited.
   await asyncio.wait_for(run._wait_elsewhere(('p', 'r')), 10)
   assert not run._elsewhere
 
 
 class Links:
-  """Other daemons, that answer as told and forget what was asked."""
+  """Fakes the other daemons: answers each message with a given function."""
 
   def __init__(self, answer):
     self.answer = answer
@@ -240,13 +240,13 @@
     return self.answer(path, message)
 
 
-async def test_a_giver_that_finishes_a_call_no_more_is_not_waited_for():
+async def test_call_abandoned_by_its_previous_owner_is_not_awaited():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
-  still = {('p', 'r'), ('p', 's')}
+  running = {('p', 'r'), ('p', 's')}
   links = Links(
     lambda path, ask: messages.Requests(
-      requests=[r for r in ask.requests if r in still]
+      requests=[r for r in ask.requests if r in running]
     )
   )
   run = make_recovery(found, links)
@@ -259,15 +259,15 @@
       requests=[(0, 'p', 'r'), (0, 'p', 's')],
     )
   )
-  still.discard(('p', 'r'))
-  # The giver lives on, yet it has given up this call, and only this one.
+  running.discard(('p', 'r'))
+  # The previous owner is alive but has abandoned one of the two calls.
   await asyncio.wait_for(run._wait_elsewhere(('p', 'r')), 10)
   assert set(run._elsewhere) == {('p', 's')}
-  still.clear()
+  running.clear()
   await asyncio.wait_for(run._wait_elsewhere(('p', 's')), 10)
 
 
-async def test_a_call_taken_back_while_its_slot_is_closed_runs_no_more():
+async def test_call_withdrawn_while_its_slot_is_closed_is_not_run():
   found, _ = make_membership(None, '127.0.0.1:8000')
   run = make_recovery(found, None)
   accepted = program.Accepted(
@@ -284,21 +284,21 @@
     number=0, version=roster.Version(1), standby='', state=state
   )
   run._held.holding_by_slot[0] = holding
-  error = slots.make_not_owner('The slot changes hands.')
-  taking = asyncio.ensure_future(run._runner._take_back(accepted, error))
+  error = slots.make_not_owner('The slot is being transferred.')
+  withdrawal = asyncio.ensure_future(run._runner._take_back(accepted, error))
   await asyncio.sleep(0)
-  # Until the slot is open again, the call is known to be cared for.
+  # The call counts as running here until the slot is open again.
   ask = messages.Requests(requests=[('north.000.a', 'r'), ('north.000.a', 'x')])
   assert run.find_running(ask).requests == [('north.000.a', 'r')]
   assert list(state.get_program('north.000.a').get_running())
   holding.opened.set()
-  await asyncio.wait_for(taking, 10)
+  await asyncio.wait_for(withdrawal, 10)
   assert not list(state.get_program('north.000.a').get_running())
   assert error.ran is errors.Ran.NOT_RUN
   assert run.find_running(ask).requests == []
 
 
-async def test_permits_of_a_process_end_with_it_at_the_same_address():
+async def test_permits_of_a_restarted_process_are_dropped():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
   permits = dispatcher.Dispatcher(
@@ -316,7 +316,7 @@
   assert not upstream.holder_by_permit
 
 
-async def test_no_slot_is_adopted_that_another_member_has_a_copy_of(
+async def test_slot_with_a_copy_on_another_member_is_not_adopted(
   monkeypatch,
 ):
   members = [f'127.0.0.1:{8000 + n}' for n in range(3)]
--- a/tests/test_pair_machine.py
+++ b/tests/test_pair_machine.py
@@ -1,8 +1,8 @@
-"""The pair protocol under any order of events, against its naive form.
+"""Stateful tests of the pair protocol, and of variants without its mechanisms.
 
-A model of three daemons and one slot, built on the real data of slots,
-rosters and records: messages are lost, late or doubled, daemons freeze
-and wake at any moment, any standby may take over at any time.
+The model has three daemons and one slot, and uses the real classes of slots,
+rosters and records.  Messages are lost, delayed or duplicated, daemons freeze
+and resume at any moment, and any standby may take over at any time.
 """
 
 import dataclasses
@@ -67,7 +67,7 @@
 
 
 class PairMachine(stateful.RuleBasedStateMachine):
-  """Each action runs at most once; what was told stays known."""
+  """Runs each action at most once and keeps each acknowledged outcome."""
 
   waits_for_ack = True
   fences = True
@@ -87,20 +87,21 @@
     )
     self.owners = {'a': Owner(roster.Version(1), 'b', state)}
     self.replicas = {'b': make_replica('a', roster.Version(1), state)}
-    self.flying = []
+    self.in_flight = []
     self.acks = []
     self.ready = []
-    # Each action is awaited once: a doubled word on it wakes nobody.
+    # Each action is awaited once, so a duplicated acknowledgement of it has no
+    # effect.
     self.awaited = set()
     self.runs = {}
-    self.told = set()
+    self.acknowledged = set()
     self.count = 0
 
   def get_entry(self):
     return self.table.slots[0]
 
   def get_owner(self):
-    """Returns the owner that counts, if it knows that it is one."""
+    """Returns the owner in the roster, or None if it is not aware of that."""
     return self.owners.get(self.get_entry().owner)
 
   def change(self, epoch, owner, standby):
@@ -129,10 +130,10 @@
       sequence=owner.state.sequence,
       records=list(records),
     )
-    self.flying.append(InFlight(name, owner.standby, append))
+    self.in_flight.append(InFlight(name, owner.standby, append))
     return append
 
-  # --- What callers do ---
+  # --- Callers ---
 
   def accept(self, name, action):
     requests = self.owners[name].state.program_by_id[PROGRAM].request_by_id
@@ -152,41 +153,45 @@
 
   @stateful.precondition(lambda self: self.owners and self.count)
   @stateful.rule(data=strategies.data())
-  def a_caller_tries_again(self, data):
+  def a_caller_retries(self, data):
     name = data.draw(strategies.sampled_from(sorted(self.owners)))
     number = data.draw(strategies.integers(1, self.count))
     self.accept(name, f'x{number}')
 
-  def wake(self, name, action):
+  def mark_ready(self, name, action):
     if (name, action) in self.awaited:
       self.awaited.discard((name, action))
       self.ready.append((name, action))
 
-  def is_sure(self, name):
-    """Returns whether a standby's word is enough to send an action."""
+  def is_ack_sufficient(self, name):
+    """Returns whether an acknowledgement is sufficient to send an action."""
     return True
 
   # --- The network ---
 
-  @stateful.precondition(lambda self: self.flying)
-  @stateful.rule(data=strategies.data(), is_doubled=strategies.booleans())
-  def a_record_arrives(self, data, is_doubled):
-    index = data.draw(strategies.integers(0, len(self.flying) - 1))
-    message = self.flying[index] if is_doubled else self.flying.pop(index)
+  @stateful.precondition(lambda self: self.in_flight)
+  @stateful.rule(data=strategies.data(), is_duplicated=strategies.booleans())
+  def a_record_arrives(self, data, is_duplicated):
+    index = data.draw(strategies.integers(0, len(self.in_flight) - 1))
+    message = (
+      self.in_flight[index] if is_duplicated else self.in_flight.pop(index)
+    )
     replica = self.replicas.get(message.to)
     verdict = slots.Verdict.STALE
     if replica is not None:
       verdict = replica.receive(message.append, answers=ANSWERS)
     self.acks.append((message, verdict))
 
-  @stateful.precondition(lambda self: self.flying)
+  @stateful.precondition(lambda self: self.in_flight)
   @stateful.rule(data=strategies.data())
   def a_record_is_lost(self, data):
-    self.flying.pop(data.draw(strategies.integers(0, len(self.flying) - 1)))
+    self.in_flight.pop(
+      data.draw(strategies.integers(0, len(self.in_flight) - 1))
+    )
 
   @stateful.precondition(lambda self: self.acks)
   @stateful.rule(data=strategies.data())
-  def a_word_arrives(self, data):
+  def an_ack_arrives(self, data):
     index = data.draw(strategies.integers(0, len(self.acks) - 1))
     message, verdict = self.acks.pop(index)
     owner = self.owners.get(message.sender)
@@ -196,19 +201,24 @@
       return
     for record in message.append.records:
       is_action = isinstance(record, program.Accepted) and not record.repeatable
-      if is_action and self.waits_for_ack and self.is_sure(message.sender):
-        self.wake(message.sender, record.request)
+      if (
+        is_action
+        and self.waits_for_ack
+        and self.is_ack_sufficient(message.sender)
+      ):
+        self.mark_ready(message.sender, record.request)
       if isinstance(record, program.Finished):
-        self.told.add(record.request)
+        self.acknowledged.add(record.request)
 
-  # --- What daemons do; any of it may come late, after a freeze ---
+  # --- Daemons; each step may be delayed by a freeze ---
 
   @stateful.precondition(lambda self: self.ready)
   @stateful.rule(data=strategies.data())
   def an_action_is_sent(self, data):
     index = data.draw(strategies.integers(0, len(self.ready) - 1))
     name, action = self.ready.pop(index)
-    # A doubled acknowledgement does not send twice: one waiter each.
+    # A duplicated acknowledgement does not send the action twice, since one
+    # caller waits for each action.
     self.ready = [r for r in self.ready if r != (name, action)]
     self.runs[action] = self.runs.get(action, 0) + 1
     if name in self.owners:
@@ -220,8 +230,8 @@
     name = data.draw(strategies.sampled_from(sorted(self.replicas)))
     replica = self.replicas[name]
     replica.is_fenced = self.fences
-    third = next(d for d in DAEMONS if d not in (name, replica.owner))
-    if not self.change(replica.version.epoch, name, third):
+    new_standby = next(d for d in DAEMONS if d not in (name, replica.owner))
+    if not self.change(replica.version.epoch, name, new_standby):
       return
     state = replica.state
     if self.fences:
@@ -229,8 +239,8 @@
     else:
       state = copy(state)
     version = roster.Version(self.get_entry().epoch)
-    self.owners[name] = Owner(version, third, state)
-    self.replicas[third] = make_replica(name, version, state)
+    self.owners[name] = Owner(version, new_standby, state)
+    self.replicas[new_standby] = make_replica(name, version, state)
 
   @stateful.rule(data=strategies.data())
   def an_owner_replaces_its_standby(self, data):
@@ -256,93 +266,96 @@
     if replica is not None and self.get_entry().epoch != replica.version.epoch:
       del self.replicas[name]
 
-  # --- What must always hold ---
+  # --- Invariants ---
 
   @stateful.invariant()
   def each_action_ran_at_most_once(self):
     assert all(count <= 1 for count in self.runs.values()), self.runs
 
   @stateful.invariant()
-  def what_was_told_is_known_to_the_owner(self):
+  def the_owner_knows_each_acknowledged_outcome(self):
     owner = self.get_owner()
     if owner is None:
       return
     requests = owner.state.program_by_id[PROGRAM].request_by_id
-    for action in self.told:
+    for action in self.acknowledged:
       assert action in requests
       assert requests[action].outcome == program.OK
 
 
 class NaiveMachine(PairMachine):
-  """Sends an action at once, and writes its record behind."""
+  """Sends an action before its record is replicated."""
 
   waits_for_ack = False
 
 
 class UnfencedMachine(PairMachine):
-  """A standby that takes over goes on acknowledging the old epoch."""
+  """Lets a standby that takes over still acknowledge the old epoch."""
 
   fences = False
 
 
-class Picks:
-  """Draws what a script names, in order."""
+class ScriptedData:
+  """Replaces `strategies.data()`: draws given values in order."""
 
-  def __init__(self, *picks):
-    self.picks = list(picks)
+  def __init__(self, *choices):
+    self.choices = list(choices)
 
   def draw(self, strategy):
-    pick = self.picks.pop(0)
+    pick = self.choices.pop(0)
     elements = getattr(strategy, 'elements', None)
     assert elements is None or pick in elements
     return pick
 
 
 def deliver(machine, sender):
-  """Brings the last record of an owner to its standby, and the word back."""
-  index = max(n for n, m in enumerate(machine.flying) if m.sender == sender)
-  machine.a_record_arrives(Picks(index), is_doubled=False)
-  machine.a_word_arrives(Picks(len(machine.acks) - 1))
+  """Delivers the last record of an owner to its standby, and its response."""
+  index = max(n for n, m in enumerate(machine.in_flight) if m.sender == sender)
+  machine.a_record_arrives(ScriptedData(index), is_duplicated=False)
+  machine.an_ack_arrives(ScriptedData(len(machine.acks) - 1))
   while machine.ready:
-    machine.an_action_is_sent(Picks(0))
+    machine.an_action_is_sent(ScriptedData(0))
 
 
-def send_at_once(machine):
-  """A standby takes over before it has an action's record."""
-  machine.a_caller_acts(Picks('a'))
+def send_before_ack(machine):
+  """Lets a standby take over before it receives the record of an action."""
+  machine.a_caller_acts(ScriptedData('a'))
   while machine.ready:
-    machine.an_action_is_sent(Picks(0))
-  machine.a_record_is_lost(Picks(0))
-  machine.a_standby_takes_over(Picks('b'))
-  machine.a_caller_tries_again(Picks('b', 1))
+    machine.an_action_is_sent(ScriptedData(0))
+  machine.a_record_is_lost(ScriptedData(0))
+  machine.a_standby_takes_over(ScriptedData('b'))
+  machine.a_caller_retries(ScriptedData('b', 1))
   deliver(machine, 'b')
 
 
-def acknowledge_late(machine):
-  """A record comes to a standby that has taken over."""
-  machine.a_caller_acts(Picks('a'))
-  machine.a_standby_takes_over(Picks('b'))
+def acknowledge_after_takeover(machine):
+  """Delivers a record to a standby that has already taken over."""
+  machine.a_caller_acts(ScriptedData('a'))
+  machine.a_standby_takes_over(ScriptedData('b'))
   deliver(machine, 'a')
-  machine.a_caller_tries_again(Picks('b', 1))
+  machine.a_caller_retries(ScriptedData('b', 1))
   deliver(machine, 'b')
 
 
 CASES = hypothesis.settings(max_examples=200, stateful_step_count=30)
 
 
-def test_the_pair_protocol_holds():
+def test_pair_protocol_keeps_its_invariants():
   stateful.run_state_machine_as_test(PairMachine, settings=CASES)
 
 
 @pytest.mark.parametrize(
-  ('script', 'naive'),
-  [(send_at_once, NaiveMachine), (acknowledge_late, UnfencedMachine)],
+  ('script', 'variant'),
+  [
+    (send_before_ack, NaiveMachine),
+    (acknowledge_after_takeover, UnfencedMachine),
+  ],
 )
-def test_forms_without_the_mechanism_break(script, naive):
-  whole, broken = PairMachine(), naive()
-  script(whole)
-  assert whole.runs == {'x1': 1}
-  whole.what_was_told_is_known_to_the_owner()
+def test_variants_without_the_mechanism_fail(script, variant):
+  correct, broken = PairMachine(), variant()
+  script(correct)
+  assert correct.runs == {'x1': 1}
+  correct.the_owner_knows_each_acknowledged_outcome()
   script(broken)
   with pytest.raises(AssertionError):
     broken.each_action_ran_at_most_once()
--- a/tests/test_slot_copies.py
+++ b/tests/test_slot_copies.py
@@ -1,4 +1,4 @@
-"""The one of a pair that stands by has a copy of its slot, or gets one."""
+"""Tests that the standby of a slot has a copy of it, or receives one."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
   found, _ = members.make_membership(None, address)
   found.adopt(known)
   return found, copies.Copies(
-    members=found, address=address, answers=9, is_held=lambda number: False
+    members=found, address=address, answers=9, is_owned=lambda number: False
   )
 
 
@@ -47,29 +47,33 @@
   )
 
 
-# --- Copies that come around a change of the pair ----------------------------
+# --- Copies sent around a change of the pair ---------------------------------
 
 
-def test_a_copy_that_comes_before_the_change_of_its_pair_is_kept():
-  """A call was told as committed, and its standby dropped it.
+def test_copy_received_before_its_pair_change_is_kept():
+  """Guards against the loss of a call that was acknowledged as committed.
 
-  The owner learns of a new pair first.  Its standby, which does not know yet
-  that it is one, misses a batch, gets the slot anew, and dropped that copy when
-  the roster came: the copy was of the new epoch, not of the one before.
+  The owner learns of a new pair before its standby does.  The standby misses a
+  batch and receives a copy of the slot in the new epoch.  It must not drop this
+  copy when the roster arrives, although the copy is not of the previous epoch.
   """
   found, held = make_copies(STANDBY, make_roster(1, make_entry(1, standby='')))
   held.learn(make_sync(1))
   held.learn(make_sync(2, sequence=7))
   new = make_roster(2, make_entry(2, 1))
   found.adopt(new)
-  held.follow(0, new.slots[0])
+  held.apply_entry(0, new.slots[0])
   replica = held.replica_by_slot[0]
   assert replica.owner == OWNER
   assert (replica.version, replica.state.sequence) == (roster.Version(2), 7)
 
 
-def test_a_copy_of_an_earlier_pair_is_refused():
-  """An owner that wakes took it for held, though another one had the slot."""
+def test_copy_of_an_earlier_pair_is_refused():
+  """Guards against a stale owner that treats its records as replicated.
+
+  A frozen owner resumes after another daemon took the slot over, and sends a
+  copy of the slot.  An accepted copy would count as a commit.
+  """
   _, held = make_copies(
     STANDBY, make_roster(2, make_entry(2, 1, owner=STANDBY, standby=THIRD))
   )
@@ -78,8 +82,11 @@
   assert refusal.value.code is errors.Code.STALE_EPOCH
 
 
-def test_a_late_word_to_drop_a_copy_leaves_the_next_one():
-  """A standby was named without a copy, which its owner took for sent."""
+def test_late_request_to_drop_a_copy_keeps_the_next_copy():
+  """Guards against a standby without the copy that its owner has sent.
+
+  The request to drop a first copy arrives after the second copy.
+  """
   found, held = make_copies(STANDBY, make_roster(1, make_entry(1, standby='')))
   first, second = (make_sync(1, copy_id=name) for name in ('first', 'second'))
   held.learn(first)
@@ -87,15 +94,15 @@
   held.forget(first)
   new = make_roster(2, make_entry(2, 1))
   found.adopt(new)
-  held.follow(0, new.slots[0])
+  held.apply_entry(0, new.slots[0])
   assert 0 in held.replica_by_slot
 
 
-# --- A pair that changed without its owner's doing ----------------------------
+# --- Pairs that changed without an action of the owner -----------------------
 
 
-class Sent:
-  """What an owner sends; the standby answers that it has no copy."""
+class RecordingLinks:
+  """Records an owner's messages; the standby answers that it has no copy."""
 
   def __init__(self):
     self.by_path = {}
@@ -111,14 +118,14 @@
     return messages.Replicated(acks=acks)
 
 
-async def test_a_standby_that_was_named_without_a_copy_gets_one():
-  """A slot that was not written to had no copy anywhere when its owner died.
+async def test_standby_without_a_copy_receives_one():
+  """Guards against an idle slot without any copy when its owner dies.
 
-  The answer to the write of a new pair was lost, the owner told the standby to
-  drop its copy, and learned later that the write had been done.
+  The answer to the write of a new pair is lost.  The owner tells the standby to
+  drop its copy and learns later that the write succeeded.
   """
   found, _ = members.make_membership(None, OWNER)
-  links = Sent()
+  links = RecordingLinks()
   held = ownership.Ownership(
     config=found._config, members=found, links=links, store=members.Store()
   )
@@ -133,9 +140,10 @@
 
 
 def make_transitions(monkeypatch, known, *, alive=()):
-  """Returns a standby's transitions, and the rosters that it wrote.
+  """Returns the transitions of a standby and the rosters that they write.
 
-  It hears only the third member; `alive` are those that others hear.
+  The standby hears only the third member.  `alive` lists the members that
+  others hear.
   """
   found, clock = members.make_membership(monkeypatch, STANDBY)
   found.adopt(known)
@@ -171,8 +179,12 @@
   return moves, changed
 
 
-async def test_a_slot_is_taken_over_whose_standby_has_no_copy(monkeypatch):
-  """Nobody took it over: it counted as held, since its standby was alive."""
+async def test_standby_without_a_copy_takes_over(monkeypatch):
+  """Guards against a slot that no member takes over.
+
+  The slot is no orphan, since its standby is alive, but the standby has no
+  copy.
+  """
   known = make_roster(1, make_entry(1), make_entry(1, standby=THIRD))
   moves, changed = make_transitions(monkeypatch, known)
   await moves._adopt_orphans({OWNER})
@@ -180,17 +192,20 @@
   assert roster.get_owned(new, STANDBY) == [0]
 
 
-async def test_a_slot_is_left_whose_owner_others_hear(monkeypatch):
+async def test_slot_of_an_owner_that_others_hear_is_not_taken_over(monkeypatch):
   known = make_roster(1, make_entry(1))
   moves, changed = make_transitions(monkeypatch, known, alive=[OWNER])
   await moves._adopt_orphans({OWNER})
   assert changed == []
 
 
-async def test_orphans_are_adopted_beside_a_slot_whose_owner_others_hear(
+async def test_orphans_are_adopted_despite_a_slot_whose_owner_others_hear(
   monkeypatch,
 ):
-  """One owner that only this member did not hear kept all others waiting."""
+  """Guards against one slot that blocks the adoption of all orphans.
+
+  Only this member does not hear the owner of that slot.
+  """
   dead = '127.0.0.1:8003'
   orphans = [make_entry(1, owner=dead, standby='') for _ in range(8)]
   known = make_roster(1, make_entry(1), *orphans)
