--- a/src/woadrun/process/copies.py
+++ b/src/woadrun/process/copies.py
@@ -90,7 +90,7 @@
         state=message.state,
         tail=collections.deque(message.tail),
       )
-      self._members.watch(message.sender)
+      self._members.add_heartbeat_target(message.sender)
     else:
       self._learner_by_slot[message.slot] = slots.Learner(
         sender=message.sender,
--- a/src/woadrun/process/membership.py
+++ b/src/woadrun/process/membership.py
@@ -135,7 +135,10 @@
     return self.get_silent() | self._leaving_members | listed
 
   def has_quorum(self) -> bool:
-    """Returns whether most heartbeat targets answered recently."""
+    """Returns whether a majority of the heartbeat targets answered recently.
+
+    This daemon counts itself as one of them.
+    """
     targets = self._heartbeat_targets
     heard = len(set(targets) - self.get_silent())
     return 2 * (heard + 1) > len(targets) + 1
@@ -171,7 +174,7 @@
 
   # --- The roster -----------------------------------------------------------
 
-  async def change(self, change: roster.Change) -> bool:
+  async def update_roster(self, change: roster.Change) -> bool:
     """Returns whether `change` produced a new roster, which is then applied.
 
     Raises a platform error when the table is unreachable.
@@ -202,7 +205,7 @@
       await self._broadcast_roster()
     return is_changed
 
-  async def refresh(self) -> None:
+  async def refresh_roster(self) -> None:
     """Reads the roster row; raises a platform error if the read fails."""
     started = time.monotonic()
     row = await self._table.read(ROSTER_TABLE, self.domain)
@@ -210,7 +213,7 @@
     if row is not None:
       self.adopt(msgspec.json.decode(row.value, type=roster.Roster))
 
-  async def confirm(self) -> None:
+  async def confirm_not_isolated(self) -> None:
     """Returns once it is certain that this daemon is not isolated.
 
     Either most heartbeat targets answered recently, or the table did.  Raises
@@ -220,7 +223,7 @@
     if self.has_quorum() or age < self._config.timing.silent_after:
       return
     try:
-      await self.refresh()
+      await self.refresh_roster()
     except errors.WoadrunError:
       raise errors.WoadrunError(
         errors.Code.ISOLATED,
@@ -300,7 +303,7 @@
     if beat.table_version > self.table_version():
       self.on_newer_table(beat.sender)
 
-  def watch(self, address: str) -> None:
+  def add_heartbeat_target(self, address: str) -> None:
     """Adds a member to the heartbeat targets until the next roster."""
     if address not in self._heartbeat_targets:
       self._heartbeat_targets.append(address)
@@ -423,7 +426,7 @@
 
   def _choose_foreign_targets(self) -> list[str]:
     # Returns at most one daemon, on average one per second: mostly of the own
-    # region, and of any region in the cross-region share of the rounds.
+    # region, and with a probability of `ALL_REGIONS_SHARE` of any region.
     region = set(self._config.daemon.region_domains) - {self.domain}
     is_any_region = random.random() < ALL_REGIONS_SHARE
     domains = (
@@ -440,7 +443,7 @@
     while not self.should_stop:
       await self.sleep(self._get_read_interval() * random.uniform(0.5, 1.5))
       try:
-        await self.refresh()
+        await self.refresh_roster()
       except errors.WoadrunError as error:
         log.debug('Roster read failed: %s', error)
 
@@ -485,7 +488,7 @@
 
   async def join(self) -> None:
     """Adds this process to the roster."""
-    await self.change(
+    await self.update_roster(
       lambda current: roster.with_member(
         current, self.address, self.incarnation
       )
@@ -500,7 +503,7 @@
         return None
       return roster.without_member(current, self.address)
 
-    await self.change(without)
+    await self.update_roster(without)
     log.info('Left failure domain %s.', self.domain)
 
   def dump(self) -> dict[str, object]:
--- a/src/woadrun/process/outage.py
+++ b/src/woadrun/process/outage.py
@@ -129,7 +129,7 @@
   async def drop_silent_standbys(self) -> None:
     """Claims owned slots whose standby no other member can reach.
 
-    Does nothing while the table is available.
+    Does nothing while the table is available or without a quorum.
     """
     if self._members.is_platform_up():
       return
--- a/src/woadrun/process/ownership.py
+++ b/src/woadrun/process/ownership.py
@@ -147,11 +147,11 @@
     A strong commit, which an action requires, must be stored by the standby or
     the platform.  If neither stores the batch, only other commits succeed.
     """
-    await self._members.confirm()
+    await self._members.confirm_not_isolated()
     retry_after = self._config.timing.silent_after
     try:
       held = await asyncio.wait_for(
-        asyncio.shield(ticket.held), self._config.timing.commit
+        asyncio.shield(ticket.durability), self._config.timing.commit
       )
     except TimeoutError:
       raise slots.make_not_committed(
@@ -223,7 +223,7 @@
 
   async def _refresh_roster(self) -> None:
     try:
-      await self._members.refresh()
+      await self._members.refresh_roster()
     except errors.WoadrunError as error:
       log.debug('Roster read failed: %s', error)
 
--- a/src/woadrun/process/slots.py
+++ b/src/woadrun/process/slots.py
@@ -46,20 +46,20 @@
   """A batch that waits until another daemon or the platform stores it."""
 
   append: messages.Append
-  held: asyncio.Future[Held]
+  durability: asyncio.Future[Held]
 
   def settle(self, held: Held) -> None:
     """Completes the ticket with where the batch is stored."""
-    if not self.held.done():
-      self.held.set_result(held)
+    if not self.durability.done():
+      self.durability.set_result(held)
 
   def fail(self, error: errors.WoadrunError) -> None:
     """Fails the ticket: this owner cannot commit the batch any more."""
-    if not self.held.done():
-      self.held.set_exception(error)
+    if not self.durability.done():
+      self.durability.set_exception(error)
       # Marks the exception as retrieved: it is not an error if no caller waits
       # for the batch any more.
-      self.held.exception()
+      self.durability.exception()
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
@@ -103,8 +103,8 @@
       written=written,
     )
     future: asyncio.Future[Held] = asyncio.get_running_loop().create_future()
-    ticket = Ticket(append=append, held=future)
-    self.tickets = [t for t in self.tickets if not t.held.done()]
+    ticket = Ticket(append=append, durability=future)
+    self.tickets = [t for t in self.tickets if not t.durability.done()]
     self.tickets.append(ticket)
     return ticket
 
@@ -125,7 +125,7 @@
     for ticket in self.tickets:
       if ticket.append.sequence <= sequence:
         ticket.settle(held)
-    self.tickets = [t for t in self.tickets if not t.held.done()]
+    self.tickets = [t for t in self.tickets if not t.durability.done()]
 
   def fail(self, error: errors.WoadrunError) -> None:
     """Fails the tickets of all batches that are not committed yet."""
@@ -189,10 +189,10 @@
 
   Raises `not_committed` if that takes longer than `timeout` seconds.
   """
-  waiting = [ticket.held for ticket in holding.tickets]
+  waiting = [ticket.durability for ticket in holding.tickets]
   if waiting:
     await asyncio.wait(waiting, timeout=timeout)
-  if any(not ticket.held.done() for ticket in holding.tickets):
+  if any(not ticket.durability.done() for ticket in holding.tickets):
     raise make_not_committed(
       f'Slot {holding.number} has records that are not committed yet.',
       retry_after=1.0,
--- a/src/woadrun/process/transitions.py
+++ b/src/woadrun/process/transitions.py
@@ -81,7 +81,7 @@
       )
       for holding in held:
         holding.copied_to = (standby, holding.state.sequence)
-      return await self._members.change(
+      return await self._members.update_roster(
         lambda current: roster.with_pairs(current, pairs)
       )
     except errors.WoadrunError:
@@ -137,7 +137,7 @@
           await self._ownership.send_copy(holding, standby)
         pairs[holding.number] = (holding.epoch, target, standby)
       await self._ownership.send_running_calls(held, target)
-      return await self._members.change(
+      return await self._members.update_roster(
         lambda current: roster.with_pairs(current, pairs)
       )
     finally:
@@ -149,7 +149,7 @@
     # must have the state of the current epoch before it becomes the owner.
     ticket = self._ownership.append(holding, [])
     held = await asyncio.wait_for(
-      asyncio.shield(ticket.held), self._config.timing.commit
+      asyncio.shield(ticket.durability), self._config.timing.commit
     )
     if held is not slots.Held.STANDBY:
       raise slots.make_not_committed(
@@ -172,7 +172,7 @@
       replica.is_fenced = True
     pairs = await self._prepare_pairs(taken)
     try:
-      await self._members.change(
+      await self._members.update_roster(
         lambda current: roster.with_pairs(current, pairs)
       )
       self.takeovers += 1
@@ -235,7 +235,7 @@
     try:
       await self._record_claims()
     except errors.WoadrunError:
-      # The table is unavailable.
+      # The table is unavailable, so the claims stay local for now.
       await self._outage.drop_silent_standbys()
       await self._outage.replicate_claims()
       raise
@@ -256,7 +256,7 @@
       if h.is_claimed
     }
     if claimed:
-      await self._members.change(
+      await self._members.update_roster(
         lambda current: roster.with_pairs(current, claimed)
       )
 
@@ -288,7 +288,7 @@
         number,
       )
     if candidates:
-      await self._members.change(
+      await self._members.update_roster(
         lambda current: roster.with_pairs(current, candidates)
       )
 
@@ -402,7 +402,7 @@
         continue
       live = set(known.incarnations) - silent
       if roster.rank(f'prune/{member}', live)[:1] == [self._address]:
-        await self._members.change(
+        await self._members.update_roster(
           functools.partial(_without_slotless, member=member)
         )
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -352,7 +352,7 @@
   async def change(step):
     changed.append(step(found.roster))
 
-  monkeypatch.setattr(found, 'change', change)
+  monkeypatch.setattr(found, 'update_roster', change)
   await moves._adopt_orphans({members[1]})
   [new] = changed
   adopted = roster.get_owned(new, members[0])
--- a/tests/test_slot_copies.py
+++ b/tests/test_slot_copies.py
@@ -175,7 +175,7 @@
   async def change(step):
     changed.append(step(found.roster))
 
-  monkeypatch.setattr(found, 'change', change)
+  monkeypatch.setattr(found, 'update_roster', change)
   return moves, changed
 
 
