--- a/src/woadrun/process/configuration.py
+++ b/src/woadrun/process/configuration.py
@@ -1,9 +1,10 @@
-"""The operators' table in force, and how edits reach every daemon.
+"""The operators' table in effect, and the distribution of its edits.
 
-Each version is a row of its own in the table service, created only if it
-does not exist: one writer wins each number.  A daemon applies versions
-in order and never goes back.  Versions spread by reads of the table,
-shared among the daemons of a domain, and from daemon to daemon.
+Each version of the operators' table is a row in the platform's table
+service, created only if it does not exist, so that one writer wins each
+version number.  A daemon applies versions in order and never reverts to an
+older one.  Daemons obtain versions by polling the table service, at a rate
+shared among the daemons of a domain, and from each other.
 """
 
 from __future__ import annotations
@@ -31,22 +32,23 @@
 EDITS_TABLE = 'configuration'
 POINTER_TABLE = 'configuration-snapshot'
 POINTER_KEY = 'latest'
-SNAPSHOT_EVERY = 500
-# Edits kept to tell peers and operators without a read of the platform.
-EDITS_KEPT = 1000
-PAGE = 200
-PEER_TIMEOUT = 2.0
+SNAPSHOT_INTERVAL_VERSIONS = 500
+# Latest edits retained to answer peers and operators without a read of the
+# platform.
+MAX_RETAINED_EDITS = 1000
+PAGE_SIZE_ROWS = 200
+PEER_TIMEOUT_SECONDS = 2.0
 
 
 class Pointer(msgspec.Struct, frozen=True, kw_only=True):
-  """Names the newest snapshot of the table in the object store."""
+  """Identifies the newest snapshot of the table in the object store."""
 
   write_id: str = ''
   version: int = 0
 
 
 class Configuration(mode.Service):
-  """The table in force in this process."""
+  """The operators' table in effect in this process."""
 
   def __init__(
     self,
@@ -60,7 +62,7 @@
     super().__init__()
     self._config = config
     self._members = members
-    self._links = links
+    self._peers = links
     self._table = store
     self._snapshots = snapshots
     self.version = 0
@@ -68,43 +70,50 @@
     self.row_by_key: dict[str, rows.Row] = {}
     self.edits: list[rows.Edit] = []
     self.applied_at = 0.0
-    self._pulling: set[str] = set()
+    self._pulling_from: set[str] = set()
     members.table_version = lambda: self.version
     members.on_newer_table = self._pull_from
 
   # --- Reading --------------------------------------------------------------
 
   def get_row(self, team: str, kind: str) -> rows.Row:
-    """Returns the row that applies to a kind of a team's work."""
+    """Returns the row that applies to a kind of a team's work.
+
+    Raises `config_unavailable` if no table is known yet, and `unknown_team`
+    if the table has no row for the team.
+    """
     if not self.is_known:
       raise errors.WoadrunError(
         errors.Code.CONFIG_UNAVAILABLE,
-        'This daemon has not seen the table yet.',
+        'This daemon has not loaded the table yet.',
         retry_after=1.0,
       )
     row = rows.get_row(self.row_by_key, team, kind)
     if row is None:
       raise errors.WoadrunError(
         errors.Code.UNKNOWN_TEAM,
-        f'The table has no row for {team}.',
+        f'The table has no row for team {team}.',
         place='team',
       )
     return row
 
-  # --- Following ------------------------------------------------------------
+  # --- Updating -------------------------------------------------------------
 
   def apply(self, edits: list[rows.Edit]) -> None:
-    """Applies the edits that follow the version in force, in order."""
+    """Applies the edits that follow the version in effect, in order.
+
+    Skips edits that are older or leave a gap.
+    """
     for edit in sorted(edits, key=lambda e: e.version):
       if edit.version != self.version + 1:
         continue
       self.row_by_key = rows.with_edit(self.row_by_key, edit)
       self.version = edit.version
-      self.edits = [*self.edits[-EDITS_KEPT + 1 :], edit]
+      self.edits = [*self.edits[-MAX_RETAINED_EDITS + 1 :], edit]
       self.applied_at = time.time()
-      log.info('Table version %d is in force.', self.version)
+      log.info('Table version %d is in effect.', self.version)
 
-  def _replace(self, version: int, data: list[dict[str, object]]) -> None:
+  def _load(self, version: int, data: list[dict[str, object]]) -> None:
     if version <= self.version:
       return
     found = [rows.Row.model_validate(item) for item in data]
@@ -112,20 +121,23 @@
     self.version = version
     self.edits = []
     self.applied_at = time.time()
-    log.info('Table version %d is in force, from a snapshot.', version)
+    log.info('Table version %d is in effect, loaded from a snapshot.', version)
 
   async def pull(self) -> None:
-    """Brings the table up to date from the platform."""
+    """Updates the table to the newest version on the platform.
+
+    Raises a platform error if the platform cannot be read.
+    """
     if not self.is_known:
       await self._load_snapshot()
     while True:
       listed = await self._table.list_after(
-        EDITS_TABLE, make_key(self.version), limit=PAGE
+        EDITS_TABLE, make_key(self.version), limit=PAGE_SIZE_ROWS
       )
       self.apply(
         [msgspec.json.decode(item.value, type=rows.Edit) for item in listed]
       )
-      if len(listed) < PAGE:
+      if len(listed) < PAGE_SIZE_ROWS:
         break
     self.is_known = True
 
@@ -136,38 +148,41 @@
     pointer = msgspec.json.decode(row.value, type=Pointer)
     data = await self._snapshots.get(_make_snapshot_key(pointer.version))
     if data is not None:
-      self._replace(pointer.version, msgspec.json.decode(data))
+      self._load(pointer.version, msgspec.json.decode(data))
 
   def get_edits(self, after: int) -> messages.Edits:
-    """Returns what a peer at version `after` is missing."""
-    kept = [e for e in self.edits if e.version > after]
-    if after >= self.version or (kept and kept[0].version == after + 1):
-      return messages.Edits(version=self.version, edits=kept)
+    """Returns the edits after version `after`.
+
+    If some of them are no longer retained, returns the whole table instead.
+    """
+    retained = [e for e in self.edits if e.version > after]
+    if after >= self.version or (retained and retained[0].version == after + 1):
+      return messages.Edits(version=self.version, edits=retained)
     snapshot = [row.model_dump() for row in self.row_by_key.values()]
     return messages.Edits(version=self.version, snapshot=snapshot)
 
   def _pull_from(self, address: str) -> None:
-    if address not in self._pulling:
-      self._pulling.add(address)
+    if address not in self._pulling_from:
+      self._pulling_from.add(address)
       self.add_future(self._pull_from_peer(address))
 
   async def _pull_from_peer(self, address: str) -> None:
     try:
-      answer = await self._links.post(
+      answer = await self._peers.post(
         address,
         'edits',
         messages.AskEdits(after=self.version),
         type=messages.Edits,
-        timeout=PEER_TIMEOUT,
+        timeout=PEER_TIMEOUT_SECONDS,
       )
       if answer.snapshot is not None:
-        self._replace(answer.version, answer.snapshot)
+        self._load(answer.version, answer.snapshot)
       self.apply(answer.edits)
       self.is_known = self.is_known or self.version > 0
     except errors.WoadrunError as error:
-      log.debug('Edits not fetched: %s', error)
+      log.debug('Edits not fetched from peer: %s', error)
     finally:
-      self._pulling.discard(address)
+      self._pulling_from.discard(address)
 
   @mode.Service.task
   async def _poll(self) -> None:
@@ -175,7 +190,7 @@
       try:
         await self.pull()
       except errors.WoadrunError as error:
-        log.debug('Table not read: %s', error)
+        log.debug('Table not read from the platform: %s', error)
       members = max(1, len(self._members.roster.incarnations))
       interval = self._config.timing.configuration_poll
       await self.sleep(interval * members * random.uniform(0.5, 1.5))
@@ -185,12 +200,12 @@
   async def submit(
     self, changes: tuple[rows.RowChange, ...], *, author: str
   ) -> rows.Edit:
-    """Returns the edit once the platform has accepted it.
+    """Returns the edit once the platform has stored it.
 
-    Raises `table_conflict` with each row that another edit changed since
-    the editor read it.
+    Raises `bad_request` if a new row is invalid.  Raises `table_conflict`
+    with each row that another edit changed since the editor read it.
     """
-    self._check(changes)
+    self._validate(changes)
     write_id = uuid.uuid4().hex
     while True:
       await self.pull()
@@ -198,7 +213,7 @@
       if conflicts:
         raise errors.WoadrunError(
           errors.Code.TABLE_CONFLICT,
-          'Another edit changed the same rows first.',
+          'Another edit has changed the same rows since they were read.',
           place=', '.join(c.key for c in conflicts),
           details=msgspec.to_builtins(conflicts),
         )
@@ -222,7 +237,7 @@
       self.add_future(self._write_snapshot())
       return edit
 
-  def _check(self, changes: tuple[rows.RowChange, ...]) -> None:
+  def _validate(self, changes: tuple[rows.RowChange, ...]) -> None:
     findings: list[errors.Finding] = []
     for change in changes:
       if change.after is None:
@@ -233,20 +248,20 @@
         findings += settings.get_findings(error, file=change.key)
         continue
       if row.key != change.key:
-        reason = f'the row names itself {row.key}'
+        reason = f'the key within the row is {row.key}'
         findings.append(
           errors.Finding(file=change.key, key='key', reason=reason)
         )
     if findings:
       raise errors.WoadrunError(
         errors.Code.BAD_REQUEST,
-        'The edit has faults.',
+        'The edit has invalid rows.',
         details=[str(finding) for finding in findings],
       )
 
   async def _write_snapshot(self) -> None:
     version = self.version
-    if version % SNAPSHOT_EVERY:
+    if version % SNAPSHOT_INTERVAL_VERSIONS:
       return
     data = [row.model_dump() for row in self.row_by_key.values()]
     try:
@@ -261,10 +276,12 @@
         empty=Pointer(),
       )
     except errors.WoadrunError as error:
-      log.warning('Snapshot %d not written: %s', version, error.message)
+      log.warning(
+        'Snapshot of table version %d not written: %s', version, error.message
+      )
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of this service as plain data."""
     return {
       'version': self.version,
       'is_known': self.is_known,
@@ -274,7 +291,7 @@
 
 
 def make_key(version: int) -> str:
-  """Returns the row key of a version; keys sort as versions do."""
+  """Returns the row key of a version, zero-padded to sort by version."""
   return f'{version:012d}'
 
 
--- a/src/woadrun/process/daemon.py
+++ b/src/woadrun/process/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: its parts, its listener, its start and its planned stop."""
+"""The daemon process: its services, listener, start-up and planned stop."""
 
 from __future__ import annotations
 
@@ -45,17 +45,18 @@
 
 log = logging.getLogger('woadrun.daemon')
 
-CONNECTIONS = 2000
-HEAD_BYTES = 16_384
-# All requests are finished before the listener closes.
-SHUTDOWN_SECONDS = 1.0
-# The balancer may send requests for so long after it was told to stop.
-QUIET_SECONDS = 1.0
-STOP_POLL_SECONDS = 0.1
+MAX_CONNECTIONS = 2000
+MAX_HEADER_BYTES = 16_384
+# Short, since all requests are finished before the listener closes.
+SHUTDOWN_TIMEOUT_SECONDS = 1.0
+# Time without requests before a planned stop: the load balancer may send
+# requests for this long after the health check has reported `leaving`.
+DRAIN_IDLE_SECONDS = 1.0
+STOP_POLL_INTERVAL_SECONDS = 0.1
 
 
 class Daemon(mode.Service):
-  """All parts of one process."""
+  """All services of one process."""
 
   def __init__(self, *, config: settings.Settings) -> None:
     super().__init__()
@@ -67,22 +68,28 @@
   # --- Starting -------------------------------------------------------------
 
   async def on_start(self) -> None:
-    """Builds all parts, listens, and joins the failure domain."""
+    """Builds and starts all services and the listener, and reads the VMs.
+
+    The started services then join the failure domain.
+    """
     self._build_connections()
     self._build_state()
     self._build_requests()
     self._build_owner()
-    self._parts = self._get_parts()
+    self._services = self._get_services()
     await self._listen()
-    for part in self._parts:
+    for part in self._services:
       await self.add_runtime_dependency(part)
     await self.vms.read()
 
   def _build_connections(self) -> None:
     config = self.config
-    # Connections come from the address served, so that others know them.
-    host, _ = get_endpoint(config.daemon)
-    connector = aiohttp.TCPConnector(limit=CONNECTIONS, local_addr=(host, 0))
+    # Binds connections to the host that this daemon listens on, so that peers
+    # can identify their source.
+    host, _ = get_listen_endpoint(config.daemon)
+    connector = aiohttp.TCPConnector(
+      limit=MAX_CONNECTIONS, local_addr=(host, 0)
+    )
     self.session = aiohttp.ClientSession(
       connector=connector, auto_decompress=False
     )
@@ -203,7 +210,7 @@
       forward=self.forward,
     )
 
-  def _get_parts(self) -> tuple[mode.Service, ...]:
+  def _get_services(self) -> tuple[mode.Service, ...]:
     return (
       self.vms,
       self.members,
@@ -226,7 +233,7 @@
   async def _listen(self) -> None:
     application = web.Application(
       client_max_size=self.config.limits.body_bytes,
-      middlewares=[answer_errors],
+      middlewares=[handle_errors],
     )
     peer = peer_routes.PeerRoutes(
       guard=self.guard,
@@ -253,22 +260,23 @@
     self._runner = web.AppRunner(
       application,
       access_log=None,
-      max_field_size=HEAD_BYTES,
-      shutdown_timeout=SHUTDOWN_SECONDS,
+      max_field_size=MAX_HEADER_BYTES,
+      shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS,
     )
     await self._runner.setup()
-    host, port = get_endpoint(self.config.daemon)
+    host, port = get_listen_endpoint(self.config.daemon)
     await web.TCPSite(self._runner, host, port, reuse_address=True).start()
-    log.info('Listening at %s.', self.config.daemon.address)
+    log.info('Listening on %s.', self.config.daemon.address)
 
   @mode.Service.task
-  async def _stay_joined(self) -> None:
-    # A daemon that was silent for long is taken out of the roster; it
-    # joins again when it finds out.
+  async def _maintain_membership(self) -> None:
+    # A daemon that does not respond for long is removed from the roster.  It
+    # joins again once it learns of the removal.
     while not (self._is_stopping or self.should_stop):
-      # Without the table it could keep no row's limits and start nothing.
+      # Does not join without the table: the daemon could neither enforce
+      # limits of rows nor start programs.
       if not self.table.is_known:
-        await self._ask_seeds()
+        await self._contact_seeds()
       elif not self.members.is_joined():
         await self._try_join()
       await self.sleep(self.config.timing.heartbeat)
@@ -277,12 +285,12 @@
     try:
       await self.members.join()
     except errors.WoadrunError as error:
-      log.warning('Not joined yet: %s', error.message)
+      log.warning('Failure domain not joined; retrying: %s', error.message)
       await self.sleep(self.config.timing.silent_after)
 
-  async def _ask_seeds(self) -> None:
-    # The platform is out: learn roster and table from any daemon that is
-    # still there, so as to pass requests on.
+  async def _contact_seeds(self) -> None:
+    # Without the platform, learns the roster and the table from any daemon
+    # that responds, so that this daemon can forward requests.
     for seed in self.config.daemon.seeds:
       if seed == self.members.address:
         continue
@@ -296,45 +304,50 @@
     while not self.should_stop:
       await self.sleep(self.config.timing.silent_after)
       if self.members.address in self.vms.get_leaving():
-        log.info('The platform lists this VM as leaving.')
+        log.info('The platform lists this VM as leaving; stopping.')
         await self.leave()
 
   async def leave(self) -> None:
-    """Stops as planned: gives its slots away and cuts no request short."""
+    """Performs a planned stop and sets `stopped`.
+
+    Hands over the slots, finishes running requests, writes pending records
+    and leaves the roster.  Steps that exceed the time for leaving are cut
+    short.
+    """
     if self._is_stopping:
       return
     self._is_stopping = True
     self.members.is_leaving = True
     log.info('Leaving.')
     deadline = time.monotonic() + self.config.timing.leaving
-    await self._give_slots_away(deadline)
+    await self._hand_over_slots(deadline)
     await self._finish_requests(deadline)
     await self._flush_records(deadline)
     with contextlib.suppress(errors.WoadrunError):
       await self.members.quit()
-    log.info('Left; all requests are finished.')
+    log.info('Left the failure domain.')
     self.stopped.set()
 
-  async def _give_slots_away(self, deadline: float) -> None:
+  async def _hand_over_slots(self, deadline: float) -> None:
     while time.monotonic() < deadline:
       if await self.transitions.hand_over():
         return
-      await asyncio.sleep(STOP_POLL_SECONDS)
-    log.error('Some slots could not be given away in time.')
+      await asyncio.sleep(STOP_POLL_INTERVAL_SECONDS)
+    log.error('Some slots were not handed over before the deadline.')
 
   async def _finish_requests(self, deadline: float) -> None:
-    quiet_since = time.monotonic()
+    idle_since = time.monotonic()
     while time.monotonic() < deadline:
       if self.gateway.active or self.runner.execution_by_key:
-        quiet_since = time.monotonic()
-      elif time.monotonic() - quiet_since > QUIET_SECONDS:
+        idle_since = time.monotonic()
+      elif time.monotonic() - idle_since > DRAIN_IDLE_SECONDS:
         return
-      await asyncio.sleep(STOP_POLL_SECONDS)
-    log.error('Some requests are cut short.')
+      await asyncio.sleep(STOP_POLL_INTERVAL_SECONDS)
+    log.error('Some requests were not finished before the deadline.')
 
   async def _flush_records(self, deadline: float) -> None:
     while not await self.storage.flush() and time.monotonic() < deadline:
-      await asyncio.sleep(STOP_POLL_SECONDS)
+      await asyncio.sleep(STOP_POLL_INTERVAL_SECONDS)
 
   async def on_shutdown(self) -> None:
     """Closes the listener and all connections."""
@@ -342,7 +355,7 @@
       await self._runner.cleanup()
     await self.session.close()
 
-  # --- Looking in -----------------------------------------------------------
+  # --- Inspection -----------------------------------------------------------
 
   def dump(self) -> dict[str, Any]:
     """Returns the state of the whole process, by role."""
@@ -378,7 +391,7 @@
     }
 
   def get_metrics(self) -> dict[str, float]:
-    """Returns the gauges that go to statsd, by name."""
+    """Returns the values of the gauges sent to statsd, by name."""
     return {name: read(self) for name, read in METRICS.items()}
 
 
@@ -387,7 +400,7 @@
   return sum(len(holding.state.program_by_id) for holding in held)
 
 
-# The gauges that go to statsd, by name.
+# Functions that read the gauges sent to statsd, by name.
 METRICS: dict[str, Callable[[Daemon], float]] = {
   'gateway.active': lambda d: d.gateway.active,
   'gateway.served': lambda d: d.gateway.served,
@@ -401,23 +414,23 @@
   'ownership.forks': lambda d: d.held.forks,
   'configuration.version': lambda d: d.table.version,
   'storage.pending': lambda d: d.storage.get_pending(),
-  'storage.oldest': lambda d: d.storage.get_age(),
+  'storage.oldest': lambda d: d.storage.get_pending_age(),
   'upstreams.retries': lambda d: d.back.retries,
   'caches.gone_tokens': lambda d: d.caches.gone_tokens,
   'caches.held_tokens': lambda d: d.caches.held_tokens,
 }
 
 
-def get_endpoint(config: settings.Daemon) -> tuple[str, int]:
-  """Returns the IP number and the port to listen at."""
+def get_listen_endpoint(config: settings.Daemon) -> tuple[str, int]:
+  """Returns the IP address and the port to listen on."""
   return endpoints.split(config.listen or config.address)
 
 
 @web.middleware
-async def answer_errors(
+async def handle_errors(
   request: web.Request, handler: gateway.Handler
 ) -> web.StreamResponse:
-  """Returns each error as the JSON answer that it stands for."""
+  """Returns the handler's response, or a JSON response for its error."""
   try:
     return await handler(request)
   except errors.WoadrunError as error:
@@ -435,9 +448,9 @@
   except (asyncio.CancelledError, ConnectionError):
     raise
   except Exception:
-    log.exception('A request failed for an unforeseen reason.')
+    log.exception('Unhandled exception in a request handler.')
     return gateway.make_error(
       errors.WoadrunError(
-        errors.Code.INTERNAL, 'Internal fault.', ran=errors.Ran.UNKNOWN
+        errors.Code.INTERNAL, 'Internal error.', ran=errors.Ran.UNKNOWN
       )
     )
--- a/src/woadrun/process/dispatcher.py
+++ b/src/woadrun/process/dispatcher.py
@@ -1,8 +1,9 @@
-"""Permits to use the upstreams, one queue for each, kept by one daemon.
+"""Permits for calls to upstreams, granted from one queue per upstream.
 
-The keeper of an upstream's queue follows from the roster.  When that
-changes, holders tell the new keeper what they hold; permits of a process
-that is in no roster any more end with it.
+One daemon, the keeper of an upstream's queue, grants its permits; the
+roster determines which.  When the keeper changes, holders report their
+permits to the new one.  Permits of a process that is no longer in any
+roster are released.
 """
 
 from __future__ import annotations
@@ -28,27 +29,30 @@
 
 log = logging.getLogger('woadrun.dispatcher')
 
-# Learned time of a call before the first sample, and the rate of learning.
+# Estimated duration of a call before the first sample.
 FIRST_SECONDS = 1.0
-LEARN_RATE = 0.1
-# After this many failures in a row an upstream gets one call at a time.
-MOST_FAILURES = 3
-# An upstream that fails gets a trial call after so long.
-TRIAL_SECONDS = 2.0
-RELEASE_TIMEOUT = 2.0
-GATHER_SECONDS = 0.003
-# How often holders tell keepers all that they hold.
-RECONCILE_SECONDS = 1.0
+# Weight of a new sample in the moving average of call durations.
+SMOOTHING_FACTOR = 0.1
+# After this many consecutive failures an upstream gets one call at a time.
+FAILURE_THRESHOLD = 3
+# Least time between probe calls to an upstream that fails.
+PROBE_INTERVAL_SECONDS = 2.0
+REPORT_TIMEOUT_SECONDS = 2.0
+# Releases to one keeper within this time are sent in one message.
+RELEASE_BATCH_DELAY_SECONDS = 0.003
+# Interval at which holders report all their permits to keepers.
+RECONCILE_INTERVAL_SECONDS = 1.0
 # A call is refused early when its expected wait exceeds its patience by
-# this factor; the estimate errs, and waiting costs little.
-PATIENCE_FACTOR = 1.5
-# Slack over the wait that the caller asked for, for the way back.
-ANSWER_SLACK = 1.0
+# this factor.  The estimate is inexact, and waiting costs little.
+EARLY_REFUSAL_FACTOR = 1.5
+# Added to the time-out of a request for a permit, beyond the caller's
+# patience, for the response to arrive.
+RESPONSE_MARGIN_SECONDS = 1.0
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Waiter:
-  """A daemon that waits for a permit."""
+  """A pending request for a permit, and the process that sent it."""
 
   holder: str
   future: asyncio.Future[None]
@@ -56,7 +60,12 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Upstream:
-  """One upstream's queue and what was learned of it from outcomes."""
+  """One upstream's queue, its permits and statistics of its calls.
+
+  `seconds` is a moving average of the duration of successful calls,
+  `failures` counts consecutive failures, and `last_attempt_at` is the
+  time of the last grant or failure.
+  """
 
   name: str
   slots: int
@@ -65,25 +74,29 @@
   holder_by_permit: dict[str, str] = dataclasses.field(default_factory=dict)
   seconds: float = FIRST_SECONDS
   failures: int = 0
-  tried_at: float = float('-inf')
+  last_attempt_at: float = float('-inf')
 
   def get_slots(self, now: float) -> int:
-    """Returns how many calls it may run now."""
-    if self.failures < MOST_FAILURES:
+    """Returns how many calls the upstream may run at `now`.
+
+    An upstream that fails may run one probe call per
+    `PROBE_INTERVAL_SECONDS`.
+    """
+    if self.failures < FAILURE_THRESHOLD:
       return self.slots
-    return 1 if now - self.tried_at >= TRIAL_SECONDS else 0
+    return 1 if now - self.last_attempt_at >= PROBE_INTERVAL_SECONDS else 0
 
-  def note_outcome(self, seconds: float, *, is_ok: bool, now: float) -> None:
-    """Learns from one call."""
+  def record_outcome(self, seconds: float, *, is_ok: bool, now: float) -> None:
+    """Updates the statistics with the outcome of one call."""
     if not is_ok:
       self.failures += 1
-      self.tried_at = now
+      self.last_attempt_at = now
       return
     self.failures = 0
-    self.seconds += LEARN_RATE * (seconds - self.seconds)
+    self.seconds += SMOOTHING_FACTOR * (seconds - self.seconds)
 
   def grant(self, now: float) -> None:
-    """Gives permits while there are free slots and waiting calls."""
+    """Grants permits while there are free slots and waiting calls."""
     while len(self.holder_by_permit) < self.get_slots(now):
       call = self.waiting.pop()
       if call is None:
@@ -91,12 +104,12 @@
       waiter = self.waiter_by_permit.pop(call.id, None)
       if waiter is not None and not waiter.future.done():
         self.holder_by_permit[call.id] = waiter.holder
-        self.tried_at = now
+        self.last_attempt_at = now
         waiter.future.set_result(None)
 
 
 class Dispatcher(mode.Service):
-  """The queues that this daemon keeps, and the way to all others."""
+  """The queues that this daemon keeps, and a client of all others."""
 
   def __init__(
     self,
@@ -108,154 +121,175 @@
     super().__init__()
     self._config = config
     self._members = members
-    self._links = links
+    self._peers = links
     self._address = config.daemon.address
     upstreams = (*config.engines, *config.services)
     self._slots_by_name = {u.name: u.slots for u in upstreams}
     self.domain_by_name = {u.name: u.domain for u in upstreams}
     self.upstream_by_name: dict[str, Upstream] = {}
-    self._held: dict[str, set[str]] = {}
+    self._permits_by_upstream: dict[str, set[str]] = {}
     self._keeper_by_name: dict[str, str] = {}
     self._releases_by_keeper: dict[str, list[messages.Release]] = {}
     self.clock: Callable[[], float] = time.monotonic
     members.loads = self.get_loads
-    members.listeners.append(self._on_roster)
-    members.known_listeners.append(self._drop_gone)
+    members.listeners.append(self._on_roster_change)
+    members.known_listeners.append(self._release_dead_holders)
 
-  # --- Asking for permits ---------------------------------------------------
+  # --- Acquiring permits ----------------------------------------------------
 
   def get_keeper(self, upstream: str) -> str:
-    """Returns the daemon that keeps an upstream's queue."""
+    """Returns the keeper of an upstream's queue, or '' if there is none."""
     domain = self.domain_by_name[upstream]
     return self._members.directory.get_keeper(domain, upstream)
 
-  async def acquire(self, ask: messages.Acquire) -> None:
-    """Returns once the permit is given; raises `overloaded` or the like."""
-    keeper = self.get_keeper(ask.upstream)
+  async def acquire(self, request: messages.Acquire) -> None:
+    """Returns once the keeper has granted the permit.
+
+    Raises `overloaded` if no permit is granted within the call's patience,
+    if the call is refused early, or if the keeper cannot be reached.
+    """
+    keeper = self.get_keeper(request.upstream)
     if not keeper:
-      raise make_overloaded(ask.upstream, self._config.timing.silent_after)
-    self._held.setdefault(ask.upstream, set()).add(ask.permit)
+      raise make_overloaded(request.upstream, self._config.timing.silent_after)
+    self._permits_by_upstream.setdefault(request.upstream, set()).add(
+      request.permit
+    )
     try:
       if keeper == self._address:
-        await self.queue(ask)
+        await self.queue(request)
       else:
-        await self._ask(keeper, ask)
+        await self._request_permit(keeper, request)
     except BaseException:
       self.release(
         messages.Release(
-          permit=ask.permit, upstream=ask.upstream, seconds=0.0, is_ok=True
+          permit=request.permit,
+          upstream=request.upstream,
+          seconds=0.0,
+          is_ok=True,
         )
       )
       raise
 
-  async def _ask(self, keeper: str, ask: messages.Acquire) -> None:
+  async def _request_permit(
+    self, keeper: str, request: messages.Acquire
+  ) -> None:
     try:
-      await self._links.post(
+      await self._peers.post(
         keeper,
         'permit',
-        ask,
+        request,
         type=messages.Granted,
-        timeout=ask.patience + ANSWER_SLACK,
+        timeout=request.patience + RESPONSE_MARGIN_SECONDS,
       )
     except errors.WoadrunError as error:
       if error.code is errors.Code.OWNER_UNAVAILABLE:
-        raise make_overloaded(ask.upstream, 1.0) from error
+        raise make_overloaded(request.upstream, 1.0) from error
       raise
 
   def release(self, message: messages.Release) -> None:
-    """Gives a permit back, without waiting for the keeper."""
-    self._held.get(message.upstream, set()).discard(message.permit)
+    """Releases a permit, without waiting for the keeper."""
+    self._permits_by_upstream.get(message.upstream, set()).discard(
+      message.permit
+    )
     keeper = self.get_keeper(message.upstream)
     if keeper == self._address:
-      self.take_back(message)
+      self.release_slot(message)
     elif keeper:
-      # What is given back within a moment goes in one message.
       waiting = self._releases_by_keeper.setdefault(keeper, [])
       waiting.append(message)
       if len(waiting) == 1:
         self.add_future(self._send_releases(keeper))
 
   async def _send_releases(self, keeper: str) -> None:
-    await asyncio.sleep(GATHER_SECONDS)
+    await asyncio.sleep(RELEASE_BATCH_DELAY_SECONDS)
     releases = self._releases_by_keeper.pop(keeper)
     message = messages.Releases(releases=releases)
     with contextlib.suppress(errors.WoadrunError):
-      await self._links.post(
-        keeper, 'release', message, type=messages.Done, timeout=RELEASE_TIMEOUT
+      await self._peers.post(
+        keeper,
+        'release',
+        message,
+        type=messages.Done,
+        timeout=REPORT_TIMEOUT_SECONDS,
       )
 
-  def take_all_back(self, message: messages.Releases) -> messages.Done:
-    """Frees the slots of several permits."""
+  def release_slots(self, message: messages.Releases) -> messages.Done:
+    """Releases several permits of queues that this daemon keeps."""
     for release in message.releases:
-      self.take_back(release)
+      self.release_slot(release)
     return messages.Done()
 
   # --- Keeping queues -------------------------------------------------------
 
-  async def queue(self, ask: messages.Acquire) -> messages.Granted:
-    """Returns once a free slot of the upstream is the asker's."""
-    upstream = self._get_upstream(ask.upstream)
+  async def queue(self, request: messages.Acquire) -> messages.Granted:
+    """Returns once a slot of the upstream is granted to the holder.
+
+    Raises `overloaded` if no slot is granted within the call's patience,
+    if the queue is full, or if a new program's expected wait is too long.
+    """
+    upstream = self._get_upstream(request.upstream)
     now = self.clock()
-    self._refuse_early(upstream, ask, now)
-    if ask.permit in upstream.holder_by_permit:
-      return messages.Granted(permit=ask.permit)
+    self._refuse_early(upstream, request, now)
+    if request.permit in upstream.holder_by_permit:
+      return messages.Granted(permit=request.permit)
     future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-    waiter = Waiter(holder=ask.holder, future=future)
-    upstream.waiter_by_permit[ask.permit] = waiter
+    waiter = Waiter(holder=request.holder, future=future)
+    upstream.waiter_by_permit[request.permit] = waiter
     upstream.waiting.push(
       queue.Waiting(
-        id=ask.permit,
-        row=ask.row,
-        weight=ask.weight,
-        attained=ask.attained,
-        cost=ask.cost,
+        id=request.permit,
+        row=request.row,
+        weight=request.weight,
+        attained=request.attained,
+        cost=request.cost,
         arrived=now,
       )
     )
     upstream.grant(now)
     try:
-      await asyncio.wait_for(future, ask.patience)
+      await asyncio.wait_for(future, request.patience)
     except TimeoutError:
-      seconds = self._estimate_return(upstream, now)
-      raise make_overloaded(ask.upstream, seconds) from None
+      seconds = self._estimate_retry_delay(upstream, now)
+      raise make_overloaded(request.upstream, seconds) from None
     finally:
-      upstream.waiting.remove(ask.permit)
-      upstream.waiter_by_permit.pop(ask.permit, None)
-    return messages.Granted(permit=ask.permit)
+      upstream.waiting.remove(request.permit)
+      upstream.waiter_by_permit.pop(request.permit, None)
+    return messages.Granted(permit=request.permit)
 
   def _refuse_early(
-    self, upstream: Upstream, ask: messages.Acquire, now: float
+    self, upstream: Upstream, request: messages.Acquire, now: float
   ) -> None:
-    wait = self._estimate_return(upstream, now)
-    # What a program has had is lost if it is refused now: only its first
-    # call is refused early.
-    is_new = ask.attained == 0
+    wait = self._estimate_retry_delay(upstream, now)
+    # Only a program's first call is refused for a long wait: refusing a later
+    # one would waste the service that the program has already received.
+    is_new = request.attained == 0
     is_full = len(upstream.waiting) >= self._config.limits.waiting
     is_busy = len(upstream.holder_by_permit) >= upstream.get_slots(now)
-    is_long = wait > ask.patience * PATIENCE_FACTOR
+    is_long = wait > request.patience * EARLY_REFUSAL_FACTOR
     if is_full or (is_new and is_busy and is_long):
-      raise make_overloaded(ask.upstream, wait)
+      raise make_overloaded(request.upstream, wait)
 
-  def _estimate_return(self, upstream: Upstream, now: float) -> float:
+  def _estimate_retry_delay(self, upstream: Upstream, now: float) -> float:
     return admission.estimate_return(
       len(upstream.waiting), upstream.get_slots(now), upstream.seconds
     )
 
-  def take_back(self, message: messages.Release) -> messages.Done:
-    """Frees the slot of a permit and learns from the call's outcome."""
+  def release_slot(self, message: messages.Release) -> messages.Done:
+    """Releases a permit and records the outcome of its call."""
     upstream = self._get_upstream(message.upstream)
     now = self.clock()
     upstream.waiting.remove(message.permit)
     holder = upstream.holder_by_permit.pop(message.permit, None)
     if holder is not None and message.seconds:
-      upstream.note_outcome(message.seconds, is_ok=message.is_ok, now=now)
+      upstream.record_outcome(message.seconds, is_ok=message.is_ok, now=now)
     upstream.grant(now)
     return messages.Done()
 
-  def note_held(self, message: messages.Hold) -> messages.Done:
-    """Takes in all that a daemon holds; what it does not name is free.
+  def apply_hold(self, message: messages.Hold) -> messages.Done:
+    """Applies a holder's report of all its permits of some upstreams.
 
-    This settles permits whose release was lost on its way.
+    Permits that the report does not list are released: their release
+    message may have been lost.
     """
     now = self.clock()
     for name, permits in message.held.items():
@@ -277,7 +311,7 @@
     return found
 
   def get_loads(self) -> list[messages.UpstreamLoad]:
-    """Returns the load of each upstream whose queue is kept here."""
+    """Returns the load of each upstream whose queue this daemon keeps."""
     now = self.clock()
     return [
       messages.UpstreamLoad(
@@ -291,9 +325,9 @@
       if self.get_keeper(u.name) == self._address
     ]
 
-  # --- Changes of the roster ------------------------------------------------
+  # --- Roster changes and reconciliation ------------------------------------
 
-  def _drop_gone(self) -> None:
+  def _release_dead_holders(self) -> None:
     known = self._members.directory.get_known_processes()
     for upstream in self.upstream_by_name.values():
       for permit, holder in list(upstream.holder_by_permit.items()):
@@ -301,45 +335,53 @@
           del upstream.holder_by_permit[permit]
       upstream.grant(self.clock())
 
-  def _on_roster(self, new: roster.Roster) -> None:
+  def _on_roster_change(self, new: roster.Roster) -> None:
     moved = {
       name
-      for name in self._held
+      for name in self._permits_by_upstream
       if self.get_keeper(name) != self._keeper_by_name.get(name)
     }
-    self._tell_keepers(moved)
+    self._report_permits(moved)
 
-  def _tell_keepers(self, names: Iterable[str]) -> None:
-    held_by_keeper: dict[str, dict[str, list[str]]] = {}
+  def _report_permits(self, names: Iterable[str]) -> None:
+    report_by_keeper: dict[str, dict[str, list[str]]] = {}
     for name in names:
       keeper = self.get_keeper(name)
       self._keeper_by_name[name] = keeper
       if keeper:
-        permits = sorted(self._held[name])
-        held_by_keeper.setdefault(keeper, {})[name] = permits
-    for keeper, held in held_by_keeper.items():
-      self.add_future(self._tell_held(keeper, held))
+        permits = sorted(self._permits_by_upstream[name])
+        report_by_keeper.setdefault(keeper, {})[name] = permits
+    for keeper, permits_by_upstream in report_by_keeper.items():
+      self.add_future(self._send_hold(keeper, permits_by_upstream))
 
   @mode.Service.task
   async def _reconcile(self) -> None:
     while not self.should_stop:
-      await self.sleep(RECONCILE_SECONDS)
-      self._tell_keepers(list(self._held))
+      await self.sleep(RECONCILE_INTERVAL_SECONDS)
+      self._report_permits(list(self._permits_by_upstream))
       for upstream in self.upstream_by_name.values():
         upstream.grant(self.clock())
 
-  async def _tell_held(self, keeper: str, held: dict[str, list[str]]) -> None:
-    message = messages.Hold(holder=self._members.process_name, held=held)
+  async def _send_hold(
+    self, keeper: str, permits_by_upstream: dict[str, list[str]]
+  ) -> None:
+    message = messages.Hold(
+      holder=self._members.process_name, held=permits_by_upstream
+    )
     if keeper == self._address:
-      self.note_held(message)
+      self.apply_hold(message)
       return
     with contextlib.suppress(errors.WoadrunError):
-      await self._links.post(
-        keeper, 'hold', message, type=messages.Done, timeout=RELEASE_TIMEOUT
+      await self._peers.post(
+        keeper,
+        'hold',
+        message,
+        type=messages.Done,
+        timeout=REPORT_TIMEOUT_SECONDS,
       )
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of this service as plain data."""
     now = self.clock()
     return {
       u.name: {
@@ -355,7 +397,7 @@
 
 
 def make_overloaded(upstream: str, seconds: float) -> errors.WoadrunError:
-  """Returns the refusal of a call that would wait too long."""
+  """Returns the `overloaded` error, with the seconds to retry after."""
   return errors.WoadrunError(
     errors.Code.OVERLOADED,
     f'{upstream} has too many calls waiting.',
--- a/src/woadrun/process/groups.py
+++ b/src/woadrun/process/groups.py
@@ -1,11 +1,12 @@
-"""The way of groups of records to the object store.
-
-The platform takes a few hundred writes a second, from however many
-daemons.  In a small deployment each daemon writes its own groups.  In a
-large one a few members of each failure domain write for all: they join
-what the others send them within an interval into one object, and answer
-once the platform has it.  A writer has no say and keeps nothing: when it
-dies, its senders write the same group themselves.
+"""Writes groups of records to the object store.
+
+The platform accepts a few hundred writes a second from all daemons
+together.  In a small deployment each daemon writes its own groups.  In a
+large one a few members of each failure domain are writers for the rest:
+a writer merges the groups that it receives within an interval into one
+object, and answers once the platform has stored it.  Writers make no
+decisions and store no state: when a writer dies, the senders write their
+groups themselves.
 """
 
 from __future__ import annotations
@@ -33,37 +34,46 @@
 
 log = logging.getLogger('woadrun.groups')
 
-# The part of the platform's writes that groups of records may take.
+# Share of the platform's write rate that groups of records may use.
 WRITE_SHARE = 0.5
-# Slack over a writer's interval and its own write, for the way back.
-ANSWER_SLACK = 1.0
+# Added to the time-out of a group sent to a writer, beyond the writer's
+# interval and its write, for the response to arrive.
+RESPONSE_MARGIN_SECONDS = 1.0
 
-# What cannot wait is written after this part of the interval.
-HURRY_FRACTION = 0.1
+# Fraction of the write interval after which urgent groups are written.
+URGENT_INTERVAL_FRACTION = 0.1
 
-Waiting = tuple[bytes, asyncio.Future[None]]
+PendingGroup = tuple[bytes, asyncio.Future[None]]
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
-class Turn:
-  """The time of one sender's or writer's next write."""
+class WritePacer:
+  """Spaces out the writes of one sender or writer."""
 
-  at: float = float('-inf')
-  hurried: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+  last_write_at: float = float('-inf')
+  urgent: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
   async def wait(self, interval: float) -> None:
-    """Returns `interval` after the last turn, or sooner when hurried."""
-    await asyncio.sleep(self.at + interval * HURRY_FRACTION - time.monotonic())
-    left = self.at + interval - time.monotonic()
-    if left > 0:
+    """Returns `interval` seconds after the last write, sooner if urgent.
+
+    Once `urgent` is set, the wait ends `URGENT_INTERVAL_FRACTION` of the
+    interval after the last write, or at once if that time has passed.
+    """
+    await asyncio.sleep(
+      self.last_write_at
+      + interval * URGENT_INTERVAL_FRACTION
+      - time.monotonic()
+    )
+    remaining = self.last_write_at + interval - time.monotonic()
+    if remaining > 0:
       with contextlib.suppress(asyncio.TimeoutError):
-        await asyncio.wait_for(self.hurried.wait(), left)
-    self.hurried.clear()
-    self.at = time.monotonic()
+        await asyncio.wait_for(self.urgent.wait(), remaining)
+    self.urgent.clear()
+    self.last_write_at = time.monotonic()
 
 
 class Groups(mode.Service):
-  """The groups of this daemon, and those that it writes for others."""
+  """Writes this daemon's groups, and those of others if it is a writer."""
 
   def __init__(
     self,
@@ -77,21 +87,21 @@
     self._config = config
     self._store = store
     self._members = members
-    self._links = links
+    self._peers = links
     self._domain = config.daemon.domain
     self._budget = config.platform.writes_per_second * WRITE_SHARE
-    self._waiting: list[Waiting] = []
+    self._pending: list[PendingGroup] = []
     self._number = itertools.count()
-    self._turn = Turn()
+    self._pacer = WritePacer()
     self._task: asyncio.Task[None] | None = None
-    self.objects = 0
-    self.joined = 0
-    self.detours = 0
+    self.written_objects = 0
+    self.merged_groups = 0
+    self.fallback_writes = 0
 
-  # --- Who writes, and how often --------------------------------------------
+  # --- Writers and their interval -------------------------------------------
 
   def get_writer(self) -> str:
-    """Returns the member that writes this daemon's groups."""
+    """Returns the address of the member that writes this daemon's groups."""
     address = self._members.address
     count = self._count_writers()
     if count >= len(self._members.roster.incarnations):
@@ -103,7 +113,7 @@
     return keeper or address
 
   def get_interval(self) -> float:
-    """Returns the seconds between two groups of one writer."""
+    """Returns the seconds between two writes of one writer."""
     domains = self._count_domains()
     writers = min(
       self._members.count_daemons(), self._count_writers() * domains
@@ -121,69 +131,73 @@
   # --- Writing --------------------------------------------------------------
 
   async def write(
-    self, appends: Sequence[messages.Append], *, is_hurried: bool
+    self, appends: Sequence[messages.Append], *, is_urgent: bool
   ) -> None:
-    """Returns once the platform has the records; raises where it may not."""
+    """Writes batches of records, through a writer if there is one.
+
+    Returns once the platform has stored the records.  Raises a
+    `WoadrunError` if it may not have stored them.
+    """
     group = messages.Group(
-      appends=msgspec.Raw(msgspec.json.encode(appends)), is_hurried=is_hurried
+      appends=msgspec.Raw(msgspec.json.encode(appends)), is_hurried=is_urgent
     )
     writer = self.get_writer()
     if writer != self._members.address:
       try:
-        await self._send(writer, group)
+        await self._send_to_writer(writer, group)
         return
       except errors.WoadrunError as error:
         if error.code is not errors.Code.OWNER_UNAVAILABLE:
           raise
-        log.debug('The writer %s gave no answer.', writer)
-        self.detours += 1
-    await self.join(group)
+        log.debug('Writer %s did not answer; writing the group here.', writer)
+        self.fallback_writes += 1
+    await self.merge_and_store(group)
 
-  async def _send(self, writer: str, group: messages.Group) -> None:
+  async def _send_to_writer(self, writer: str, group: messages.Group) -> None:
     platform = self._config.platform
-    patience = (
+    timeout_seconds = (
       2 * self.get_interval() + platform.timeout * objects.TIMEOUT_FACTOR
     )
-    await self._links.post(
+    await self._peers.post(
       writer,
       'records',
       group,
       type=messages.Done,
-      timeout=patience + ANSWER_SLACK,
+      timeout=timeout_seconds + RESPONSE_MARGIN_SECONDS,
     )
 
-  async def join(self, group: messages.Group) -> messages.Done:
-    """Returns once a group is in an object that the platform has."""
-    kept: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-    self._waiting.append((bytes(group.appends), kept))
+  async def merge_and_store(self, group: messages.Group) -> messages.Done:
+    """Returns once the platform has stored an object that holds the group."""
+    stored: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+    self._pending.append((bytes(group.appends), stored))
     if group.is_hurried:
-      self._turn.hurried.set()
+      self._pacer.urgent.set()
     if self._task is None or self._task.done():
-      self._task = asyncio.ensure_future(self._put_all())
-    await kept
+      self._task = asyncio.ensure_future(self._write_pending())
+    await stored
     return messages.Done()
 
-  async def _put_all(self) -> None:
-    while self._waiting:
-      await self._turn.wait(self.get_interval())
-      waiting, self._waiting = self._waiting, []
-      await self._put(waiting)
+  async def _write_pending(self) -> None:
+    while self._pending:
+      await self._pacer.wait(self.get_interval())
+      pending, self._pending = self._pending, []
+      await self._write_object(pending)
 
-  async def _put(self, waiting: Sequence[Waiting]) -> None:
+  async def _write_object(self, pending: Sequence[PendingGroup]) -> None:
     try:
       await self._store.put(
-        self._make_key(), join_arrays(d for d, _ in waiting)
+        self._make_key(), concatenate_arrays(d for d, _ in pending)
       )
     except errors.WoadrunError as error:
-      for _, kept in waiting:
-        if not kept.done():
-          kept.set_exception(error)
+      for _, stored in pending:
+        if not stored.done():
+          stored.set_exception(error)
       return
-    self.objects += 1
-    self.joined += len(waiting)
-    for _, kept in waiting:
-      if not kept.done():
-        kept.set_result(None)
+    self.written_objects += 1
+    self.merged_groups += len(pending)
+    for _, stored in pending:
+      if not stored.done():
+        stored.set_result(None)
 
   def _make_key(self) -> str:
     milliseconds = int(time.time() * 1000)
@@ -192,17 +206,17 @@
     return f'log/{self._domain}/{milliseconds:014d}-{process}-{number}'
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of this service as plain data."""
     return {
       'writer': self.get_writer(),
       'interval': self.get_interval(),
-      'objects': self.objects,
-      'joined': self.joined,
-      'detours': self.detours,
-      'waiting': len(self._waiting),
+      'objects': self.written_objects,
+      'joined': self.merged_groups,
+      'detours': self.fallback_writes,
+      'waiting': len(self._pending),
     }
 
 
-def join_arrays(arrays: Iterable[bytes]) -> bytes:
-  """Returns one JSON array with the items of all, which are not parsed."""
+def concatenate_arrays(arrays: Iterable[bytes]) -> bytes:
+  """Returns a JSON array of the items of all arrays, without parsing them."""
   return b'[' + b','.join(a[1:-1] for a in arrays if a != b'[]') + b']'
--- a/src/woadrun/process/limits.py
+++ b/src/woadrun/process/limits.py
@@ -1,11 +1,12 @@
-"""Limits of the operators' rows, held across all daemons.
-
-A large limit is cut into one share for each failure domain, which holds
-also while domains are cut off.  A small one is kept whole by one domain.
-Within a domain one member keeps a row's share; it follows from the
-roster.  It lends daemons places and calls ahead of their need, as far as
-there are plenty, so that most calls ask nobody; of a scarce limit it
-lends one at a time.
+"""Enforces the limits of the operators' rows across all daemons.
+
+A large limit is split into one share per failure domain, so that it holds
+during network partitions between domains as well.  A small limit is
+assigned whole to one domain.  Within a domain one member, the row's
+keeper, manages the share; the roster determines which.  The keeper lends
+daemons places (concurrent calls) and calls (tokens of a rate limit).  While
+a limit has room to spare, it lends some ahead of demand, so that most calls
+need no message; of a scarce limit it lends one at a time.
 """
 
 from __future__ import annotations
@@ -30,70 +31,78 @@
 
 log = logging.getLogger('woadrun.limits')
 
-TIMEOUT = 1.0
-RECONCILE_SECONDS = 1.0
-# A new keeper lends nothing for so long: holders tell it what they have.
-GRACE_SECONDS = 0.3
-# An edit reaches a keeper that is behind within about this time.
-RETRY_SECONDS = 0.2
-# A refused call may come back after this long for a free place.
+PEER_TIMEOUT_SECONDS = 1.0
+RECONCILE_INTERVAL_SECONDS = 1.0
+# A new keeper lends nothing for this long, while holders report their places.
+GRACE_PERIOD_SECONDS = 0.3
+# Delay before a retry when the keeper has not applied the edit that added the
+# row; the edit reaches the keeper within about this time.
+STALE_TABLE_RETRY_SECONDS = 0.2
+# Delay before a retry when no place is free.
 CONCURRENCY_RETRY_SECONDS = 1.0
-# Between looks whether a row has another keeper, in seconds: a tenth of a
-# heartbeat, with which rosters are told.
-KEEPER_POLL_SECONDS = 0.05
-# How often one call asks the keeper: for a call, for a place that another
-# took meanwhile, and once more.
-MOST_ASKS = 3
+# Interval between checks whether a row has another keeper: a tenth of the
+# heartbeat interval, since heartbeats spread rosters.
+KEEPER_POLL_INTERVAL_SECONDS = 0.05
+# Requests to the keeper for one call: one for a call, one for a place that
+# another call took in the meantime, and one more.
+MAX_BORROW_REQUESTS = 3
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
-class Heard:
-  """The newest messages of a holder about a row: any, and a report."""
+class HolderSequence:
+  """Sequence numbers of a holder's latest messages about a row.
 
-  number: int = 0
-  reported: int = 0
+  `latest` is that of any message, `latest_report` that of a report of places.
+  """
+
+  latest: int = 0
+  latest_report: int = 0
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
-class Keeping:
-  """What is lent of one row's limits, by holder."""
+class Allocation:
+  """A keeper's record of what it has lent of one row's limits."""
 
-  begun_at: float
+  created_at: float
   places_by_holder: dict[str, int] = dataclasses.field(default_factory=dict)
-  heard_by_holder: dict[str, Heard] = dataclasses.field(default_factory=dict)
+  sequence_by_holder: dict[str, HolderSequence] = dataclasses.field(
+    default_factory=dict
+  )
   bucket: admission.Bucket | None = None
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Borrowed:
-  """What this daemon has of one row's limits.
+  """What this daemon has borrowed of one row's limits.
 
-  `most` is the most places in use since the last time that spare ones
-  were given back.  `number` is that of the last message about them; `asks` are
-  without an answer, and what has become spare meanwhile `is_spare`.
+  `peak_in_use` is the largest number of places in use since unused ones were
+  last returned.  `number` is the sequence number of the last message about
+  the row, and `pending_requests` counts requests without a response.  While
+  there are any, `is_return_deferred` tells that places are to be returned
+  once all are answered.
   """
 
   keeper: str = ''
   places: int = 0
   calls: int = 0
-  most: int = 0
+  peak_in_use: int = 0
   in_use: set[str] = dataclasses.field(default_factory=set)
   number: int = 0
-  asks: int = 0
-  is_spare: bool = False
+  pending_requests: int = 0
+  is_return_deferred: bool = False
 
   def take(self, permit: str) -> bool:
-    """Returns whether there was a place and a call left to take."""
+    """Returns whether a place and a call were left, and takes them."""
     if len(self.in_use) >= self.places or not self.calls:
       return False
     self.calls -= 1
     self.in_use.add(permit)
-    self.most = max(self.most, len(self.in_use))
+    self.peak_in_use = max(self.peak_in_use, len(self.in_use))
     return True
 
 
 class Limits(mode.Service):
-  """The rows whose limits are kept here, and what is borrowed of others."""
+  """Lends limits of the rows kept here, and borrows from other keepers."""
 
   def __init__(
     self,
@@ -106,84 +115,95 @@
     super().__init__()
     self._domains = config.daemon.region_domains
     self._members = members
-    self._links = links
+    self._peers = links
     self._address = config.daemon.address
     self._get_row = get_row
-    self._keeping_by_row: dict[str, Keeping] = {}
+    self._allocation_by_row: dict[str, Allocation] = {}
     self._borrowed_by_row: dict[str, Borrowed] = {}
-    self.asked = 0
+    self.loan_requests = 0
     self.clock: Callable[[], float] = time.monotonic
-    members.listeners.append(self._on_roster)
+    members.listeners.append(self._on_roster_change)
 
   # --- Borrowing ------------------------------------------------------------
 
   async def acquire(self, row: rows.Row, permit: str) -> None:
-    """Returns once the row has room for the call; raises `limit_reached`."""
+    """Returns once the row's limits admit the call.
+
+    Raises `limit_reached` if they do not.
+    """
     borrowed = self._borrowed_by_row.setdefault(row.key, Borrowed())
-    for _ in range(MOST_ASKS):
+    for _ in range(MAX_BORROW_REQUESTS):
       if borrowed.take(permit):
         return
       await self._borrow_more(row, borrowed)
-    # Each time others took what was lent while the answer was on its way.
+    # Concurrent calls took what the last request borrowed.
     if not borrowed.take(permit):
       raise make_limit_reached(row.key, CONCURRENCY_RETRY_SECONDS)
 
   async def _borrow_more(self, row: rows.Row, borrowed: Borrowed) -> None:
-    """Takes over what the row's keeper lends."""
-    borrowed.asks += 1
+    """Borrows from the row's keeper and adds what it lends to `borrowed`."""
+    borrowed.pending_requests += 1
     try:
-      lent = await self._borrow(row, borrowed)
+      lent = await self._borrow_from_keeper(row, borrowed)
       borrowed.places = max(borrowed.places, lent.places)
       borrowed.calls += lent.calls
     finally:
-      borrowed.asks -= 1
-      if borrowed.is_spare and not borrowed.asks:
-        # Runs after the calls that wait for the answer, which may take it.
+      borrowed.pending_requests -= 1
+      if borrowed.is_return_deferred and not borrowed.pending_requests:
+        # Scheduled to run after the calls that await this response, since
+        # they may still use the places.
         asyncio.get_running_loop().call_soon(
-          self._give_back_spare, row.key, borrowed
+          self._return_deferred, row.key, borrowed
         )
 
-  def _give_back_spare(self, key: str, borrowed: Borrowed) -> None:
-    if borrowed.is_spare:
-      self._give_back(key, borrowed, spare=0)
+  def _return_deferred(self, key: str, borrowed: Borrowed) -> None:
+    if borrowed.is_return_deferred:
+      self._return_places(key, borrowed, spare=0)
+
+  async def _borrow_from_keeper(
+    self, row: rows.Row, borrowed: Borrowed
+  ) -> messages.Lent:
+    """Returns what the row's keeper lends.
 
-  async def _borrow(self, row: rows.Row, borrowed: Borrowed) -> messages.Lent:
-    """Returns what the row's keeper lends, or the next keeper if that left."""
-    until = self.clock() + TIMEOUT
+    If the keeper leaves meanwhile, sends the request to the next one.
+    """
+    deadline = self.clock() + PEER_TIMEOUT_SECONDS
     while True:
       keeper = self._get_keeper(row)
       if not keeper:
         raise make_limit_reached(row.key, CONCURRENCY_RETRY_SECONDS)
       borrowed.keeper = keeper
       try:
-        lent = await self._ask(keeper, row, borrowed)
-        # Nobody counts what a replaced keeper has lent.
+        lent = await self._request_loan(keeper, row, borrowed)
+        # What a replaced keeper has lent is discarded: the new keeper does
+        # not count it.
         if self._get_keeper(row) == keeper:
           return lent
       except errors.WoadrunError as error:
         if error.code is not errors.Code.OWNER_UNAVAILABLE:
           raise
-        # Refused here, calls failed at each planned stop of a keeper until
-        # this daemon had read the roster again.
-        if not await self._wait_other_keeper(row, keeper, until):
-          raise make_limit_reached(row.key, TIMEOUT) from error
-
-  async def _wait_other_keeper(
-    self, row: rows.Row, keeper: str, until: float
+        # Waits for the next keeper.  Without the wait, calls failed after
+        # each planned stop of a keeper until this daemon had read the new
+        # roster.
+        if not await self._wait_for_new_keeper(row, keeper, deadline):
+          raise make_limit_reached(row.key, PEER_TIMEOUT_SECONDS) from error
+
+  async def _wait_for_new_keeper(
+    self, row: rows.Row, keeper: str, deadline: float
   ) -> bool:
-    """Returns whether the row has another keeper before the time `until`."""
-    while self.clock() < until:
+    """Returns whether the row gets another keeper before `deadline`."""
+    while self.clock() < deadline:
       if self._get_keeper(row) != keeper:
         return True
-      await asyncio.sleep(KEEPER_POLL_SECONDS)
+      await asyncio.sleep(KEEPER_POLL_INTERVAL_SECONDS)
     return False
 
-  async def _ask(
+  async def _request_loan(
     self, keeper: str, row: rows.Row, borrowed: Borrowed
   ) -> messages.Lent:
-    self.asked += 1
+    self.loan_requests += 1
     borrowed.number += 1
-    ask = messages.Borrow(
+    request = messages.Borrow(
       holder=self._members.process_name,
       row=row.key,
       in_use=max(len(borrowed.in_use), borrowed.places),
@@ -191,33 +211,36 @@
       number=borrowed.number,
     )
     if keeper == self._address:
-      return await self.lend(ask)
-    return await self._links.post(
-      keeper, 'limit', ask, type=messages.Lent, timeout=TIMEOUT
+      return await self.lend(request)
+    return await self._peers.post(
+      keeper, 'limit', request, type=messages.Lent, timeout=PEER_TIMEOUT_SECONDS
     )
 
   def release(self, row: rows.Row, permit: str) -> None:
-    """Frees the place of a call; it goes back with the next report."""
+    """Frees the place of a call, to be returned with the next report.
+
+    If no more than one place is unused, it is returned at once.
+    """
     borrowed = self._borrowed_by_row.get(row.key)
     if borrowed is None:
       return
     borrowed.in_use.discard(permit)
     if borrowed.places <= 1 + len(borrowed.in_use):
-      # Of a scarce limit nothing is kept for later.
-      self._give_back(row.key, borrowed, spare=0)
-
-  def _give_back(self, key: str, borrowed: Borrowed, *, spare: int) -> None:
-    if borrowed.asks:
-      # Waits for the answer under way: its places are counted by the keeper,
-      # and a report sent now would not include them.
-      borrowed.is_spare = True
+      # The limit is scarce: no unused place is retained.
+      self._return_places(row.key, borrowed, spare=0)
+
+  def _return_places(self, key: str, borrowed: Borrowed, *, spare: int) -> None:
+    if borrowed.pending_requests:
+      # Deferred until the pending response arrives: the keeper counts the
+      # places in that response, and a report sent now would not include them.
+      borrowed.is_return_deferred = True
       return
-    borrowed.is_spare = False
+    borrowed.is_return_deferred = False
     borrowed.places = min(borrowed.places, len(borrowed.in_use) + spare)
-    borrowed.most = len(borrowed.in_use)
-    self._tell_places(key, borrowed)
+    borrowed.peak_in_use = len(borrowed.in_use)
+    self._report_places(key, borrowed)
 
-  def _tell_places(self, key: str, borrowed: Borrowed) -> None:
+  def _report_places(self, key: str, borrowed: Borrowed) -> None:
     row = self._get_row(key)
     keeper = self._get_keeper(row) if row else ''
     borrowed.keeper = keeper
@@ -228,50 +251,58 @@
       number=borrowed.number,
     )
     if keeper == self._address:
-      self.note_held(message)
+      self.apply_holds(message)
     elif keeper:
-      self.add_future(self._send(keeper, message))
+      self.add_future(self._send_report(keeper, message))
 
   # --- Lending --------------------------------------------------------------
 
-  async def lend(self, ask: messages.Borrow) -> messages.Lent:
-    """Returns places and calls, or raises `limit_reached` with a time."""
-    row = self._get_row(ask.row)
+  async def lend(self, request: messages.Borrow) -> messages.Lent:
+    """Returns the places and calls lent to the holder.
+
+    Raises `limit_reached`, with the time after which to retry, if a limit
+    has no room.
+    """
+    row = self._get_row(request.row)
     if row is None:
-      # The asker has the row, so this daemon is behind with the table.
+      # The holder knows the row, so this daemon's table is out of date.
       raise errors.WoadrunError(
         errors.Code.CONFIG_UNAVAILABLE,
-        f'The keeper of {ask.row} has not seen its row yet.',
-        retry_after=RETRY_SECONDS,
+        f'The table of the daemon that manages the limits of {request.row} '
+        'does not have the row yet.',
+        retry_after=STALE_TABLE_RETRY_SECONDS,
       )
-    keeping = self._get_keeping(ask.row)
-    await self._wait_grace(keeping)
-    places = self._lend_places(row, keeping, ask)
-    return messages.Lent(places=places, calls=self._lend_calls(row, keeping))
+    allocation = self._get_allocation(request.row)
+    await self._wait_grace_period(allocation)
+    places = self._lend_places(row, allocation, request)
+    return messages.Lent(places=places, calls=self._lend_calls(row, allocation))
 
   def _lend_places(
-    self, row: rows.Row, keeping: Keeping, ask: messages.Borrow
+    self, row: rows.Row, allocation: Allocation, request: messages.Borrow
   ) -> int:
-    lent = keeping.places_by_holder
-    heard = keeping.heard_by_holder.setdefault(ask.holder, Heard())
-    if 0 < ask.number < heard.reported:
-      # The holder no longer waits for the answer.
+    lent = allocation.places_by_holder
+    sequence = allocation.sequence_by_holder.setdefault(
+      request.holder, HolderSequence()
+    )
+    if 0 < request.number < sequence.latest_report:
+      # A later report overtook this request, and the holder no longer waits
+      # for the response.
       raise make_limit_reached(row.key, CONCURRENCY_RETRY_SECONDS)
-    # Includes places in an answer that the holder has not received yet.
-    held = max(ask.in_use, lent.get(ask.holder, 0))
-    heard.number = max(heard.number, ask.number)
-    others = sum(lent.values()) - lent.get(ask.holder, 0)
+    # Includes places in a response that the holder has not received yet.
+    held = max(request.in_use, lent.get(request.holder, 0))
+    sequence.latest = max(sequence.latest, request.number)
+    others = sum(lent.values()) - lent.get(request.holder, 0)
     free = self._get_share(row) - others - held
     wanted = 0
-    if ask.is_more:
+    if request.is_more:
       if free < 1:
         raise make_limit_reached(row.key, CONCURRENCY_RETRY_SECONDS)
       wanted = 1 + admission.get_spare(free - 1, self._count_members())
-    lent[ask.holder] = held + wanted
-    return lent[ask.holder]
+    lent[request.holder] = held + wanted
+    return lent[request.holder]
 
-  def _lend_calls(self, row: rows.Row, keeping: Keeping) -> int:
-    bucket = self._get_bucket(row, keeping)
+  def _lend_calls(self, row: rows.Row, allocation: Allocation) -> int:
+    bucket = self._get_bucket(row, allocation)
     wait = bucket.take(self.clock())
     if wait:
       raise make_limit_reached(row.key, wait)
@@ -279,28 +310,35 @@
     bucket.level -= spare
     return 1 + spare
 
-  def note_held(self, message: messages.Holds) -> messages.Done:
-    """Takes in how many places a daemon keeps of each row."""
+  def apply_holds(self, message: messages.Holds) -> messages.Done:
+    """Applies a holder's report of how many places it has of each row.
+
+    Skips the report for rows on which a later message has arrived.
+    """
     for key, places in message.places_by_row.items():
-      keeping = self._get_keeping(key)
-      heard = keeping.heard_by_holder.setdefault(message.holder, Heard())
-      if 0 < message.number < heard.number:
+      allocation = self._get_allocation(key)
+      sequence = allocation.sequence_by_holder.setdefault(
+        message.holder, HolderSequence()
+      )
+      if 0 < message.number < sequence.latest:
         continue
-      heard.number = heard.reported = message.number
-      lent = keeping.places_by_holder
+      sequence.latest = sequence.latest_report = message.number
+      lent = allocation.places_by_holder
       if places:
         lent[message.holder] = places
       else:
         lent.pop(message.holder, None)
     return messages.Done()
 
-  def _get_keeping(self, key: str) -> Keeping:
-    return self._keeping_by_row.setdefault(key, Keeping(begun_at=self.clock()))
+  def _get_allocation(self, key: str) -> Allocation:
+    return self._allocation_by_row.setdefault(
+      key, Allocation(created_at=self.clock())
+    )
 
-  async def _wait_grace(self, keeping: Keeping) -> None:
-    left = keeping.begun_at + GRACE_SECONDS - self.clock()
-    if left > 0 and self._count_members() > 1:
-      await asyncio.sleep(left)
+  async def _wait_grace_period(self, allocation: Allocation) -> None:
+    remaining = allocation.created_at + GRACE_PERIOD_SECONDS - self.clock()
+    if remaining > 0 and self._count_members() > 1:
+      await asyncio.sleep(remaining)
 
   def _count_members(self) -> int:
     return len(self._members.directory.get_known_addresses())
@@ -312,17 +350,19 @@
       row.concurrency, self._domains, self._members.domain
     )
 
-  def _get_bucket(self, row: rows.Row, keeping: Keeping) -> admission.Bucket:
+  def _get_bucket(
+    self, row: rows.Row, allocation: Allocation
+  ) -> admission.Bucket:
     is_split = admission.is_split(row.concurrency, self._domains)
     rate = row.rate / (len(self._domains) if is_split else 1)
-    bucket = keeping.bucket
+    bucket = allocation.bucket
     if bucket is None or bucket.rate != rate:
       burst = max(1.0, rate)
       now = self.clock()
       bucket = admission.Bucket(
         rate=rate, burst=burst, level=burst if rate else 0.0, filled_at=now
       )
-      keeping.bucket = bucket
+      allocation.bucket = bucket
     return bucket
 
   def _get_keeper(self, row: rows.Row) -> str:
@@ -331,61 +371,69 @@
       domain = roster.rank(f'limit/{row.key}', self._domains)[0]
     return self._members.directory.get_keeper(domain, f'limit/{row.key}')
 
-  # --- Keeping both sides in step -------------------------------------------
+  # --- Reconciliation -------------------------------------------------------
 
-  def _on_roster(self, new: roster.Roster) -> None:
+  def _on_roster_change(self, new: roster.Roster) -> None:
     for key, borrowed in self._borrowed_by_row.items():
       row = self._get_row(key)
       if row is not None and self._get_keeper(row) != borrowed.keeper:
-        # Without waiting for answers of the old keeper: the new one lends after
-        # a grace period what nobody reports.
-        self._tell_places(key, borrowed)
+        # Reports without waiting for responses of the old keeper: after the
+        # grace period the new keeper lends all places that no holder has
+        # reported.
+        self._report_places(key, borrowed)
 
   @mode.Service.task
   async def _reconcile(self) -> None:
     while not self.should_stop:
-      await self.sleep(RECONCILE_SECONDS)
+      await self.sleep(RECONCILE_INTERVAL_SECONDS)
       self.report()
 
   def report(self) -> None:
-    """Tells keepers what is held here, and forgets holders that are gone."""
-    self._drop_gone()
+    """Reports borrowed places to keepers and removes holders that are gone.
+
+    Places in excess of the peak use since the last report are returned.
+    """
+    self._remove_gone_holders()
     for key, borrowed in self._borrowed_by_row.items():
       if borrowed.places or borrowed.keeper:
-        spare = borrowed.most - len(borrowed.in_use)
-        self._give_back(key, borrowed, spare=spare)
+        spare = borrowed.peak_in_use - len(borrowed.in_use)
+        self._return_places(key, borrowed, spare=spare)
         borrowed.keeper = borrowed.keeper if borrowed.places else ''
 
-  def _drop_gone(self) -> None:
+  def _remove_gone_holders(self) -> None:
     known = self._members.directory.get_known_processes()
-    for keeping in self._keeping_by_row.values():
-      for holder in set(keeping.heard_by_holder) - known:
-        keeping.places_by_holder.pop(holder, None)
-        del keeping.heard_by_holder[holder]
+    for allocation in self._allocation_by_row.values():
+      for holder in set(allocation.sequence_by_holder) - known:
+        allocation.places_by_holder.pop(holder, None)
+        del allocation.sequence_by_holder[holder]
 
-  async def _send(self, keeper: str, message: messages.Holds) -> None:
+  async def _send_report(self, keeper: str, message: messages.Holds) -> None:
     with contextlib.suppress(errors.WoadrunError):
-      await self._links.post(
-        keeper, 'limit/hold', message, type=messages.Done, timeout=TIMEOUT
+      await self._peers.post(
+        keeper,
+        'limit/hold',
+        message,
+        type=messages.Done,
+        timeout=PEER_TIMEOUT_SECONDS,
       )
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of this service as plain data."""
     return {
       'lent': {
-        key: sum(keeping.places_by_holder.values())
-        for key, keeping in self._keeping_by_row.items()
+        key: sum(allocation.places_by_holder.values())
+        for key, allocation in self._allocation_by_row.items()
       },
       'borrowed': {
         key: {'places': b.places, 'in_use': len(b.in_use)}
         for key, b in self._borrowed_by_row.items()
       },
-      'asked': self.asked,
+      'asked': self.loan_requests,
     }
 
 
 def make_limit_reached(row: str, seconds: float) -> errors.WoadrunError:
-  """Returns the refusal of a call that its row has no room for."""
+  """Returns the `limit_reached` error, with the seconds to retry after."""
   return errors.WoadrunError(
     errors.Code.LIMIT_REACHED,
     f'The limits of {row} are reached.',
--- a/src/woadrun/process/logs.py
+++ b/src/woadrun/process/logs.py
@@ -1,4 +1,4 @@
-"""Logging of the process: one short line for each event, text or JSON."""
+"""Configures logging: one line per record, as text or JSON."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 import msgspec
 
 if TYPE_CHECKING:
-  # The library that checks settings stays out of daemons that do not use it.
+  # Not imported at run time, so that daemons that do not use the settings
+  # library do not load it.
   from woadrun import settings
 
 TEXT_FORMAT = '%(asctime)s %(levelname)-7s %(name)s: %(message)s'
 
-# Fields that a line may have beside its message: which request it tells of,
-# that request's program and line of turns, and the kind of its route.
-FIELDS = ('request', 'program', 'line', 'kind')
+# Optional fields of a JSON line: the request that the record concerns, that
+# request's program and line of turns, and the kind of its route.
+CONTEXT_FIELDS = ('request', 'program', 'line', 'kind')
 
 
 class JsonFormatter(logging.Formatter):
-  """Writes each event as one JSON object."""
+  """Formats each record as one JSON object."""
 
   def format(self, record: logging.LogRecord) -> str:
-    """Returns the line of an event."""
+    """Returns the JSON line of a record."""
     line = {
       'time': self.formatTime(record),
       'level': record.levelname,
       'part': record.name,
       'message': record.getMessage(),
     }
-    for name in FIELDS:
+    for name in CONTEXT_FIELDS:
       if record.__dict__.get(name):
         line[name] = record.__dict__[name]
     if record.exc_info:
@@ -39,7 +40,10 @@
 
 
 def configure(logs: settings.Logs, *, address: str) -> None:
-  """Sets up logging to the standard error stream."""
+  """Configures logging to standard error.
+
+  Lines of the text format start with the daemon's `address`.
+  """
   handler = logging.StreamHandler(sys.stderr)
   if logs.format == 'json':
     handler.setFormatter(JsonFormatter())
@@ -49,6 +53,7 @@
   root.handlers[:] = [handler]
   root.setLevel(logging.WARNING)
   logging.getLogger('woadrun').setLevel(logs.level)
-  # Services of `mode` log each start and stop under their module's name.
+  # Hides the messages with which each `mode` service logs its start and stop,
+  # under its module's name.
   for package in ('woadrun.process', 'woadrun.request'):
     logging.getLogger(package).setLevel(logging.WARNING)
--- a/src/woadrun/process/metrics.py
+++ b/src/woadrun/process/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics sent to statsd: gauges of what the dump shows, at intervals."""
+"""Sends gauges of values in the state dump to statsd periodically."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 from woadrun import settings
 
-INTERVAL_SECONDS = 5.0
+SEND_INTERVAL_SECONDS = 5.0
 
 
 class Metrics(mode.Service):
-  """Sends the numbers that `read` returns, by name."""
+  """Sends the gauges that `read` returns, by name, to statsd.
+
+  Sends nothing if no host is configured.
+  """
 
   def __init__(
     self,
@@ -23,7 +26,7 @@
     read: Callable[[], Mapping[str, float]],
   ) -> None:
     super().__init__()
-    self._read = read
+    self._read_gauges = read
     self._client: statsd.StatsClient | None = None
     if config.host:
       self._client = statsd.StatsClient(
@@ -31,15 +34,15 @@
       )
 
   def send(self) -> None:
-    """Sends all gauges once."""
+    """Sends the current values of all gauges."""
     if self._client is None:
       return
     with self._client.pipeline() as pipeline:
-      for name, value in self._read().items():
+      for name, value in self._read_gauges().items():
         pipeline.gauge(name, value)
 
   @mode.Service.task
-  async def _send_often(self) -> None:
+  async def _send_periodically(self) -> None:
     while not self.should_stop and self._client is not None:
       self.send()
-      await self.sleep(INTERVAL_SECONDS)
+      await self.sleep(SEND_INTERVAL_SECONDS)
--- a/src/woadrun/process/operator_routes.py
+++ b/src/woadrun/process/operator_routes.py
@@ -1,4 +1,4 @@
-"""The operators' interface over HTTP: the table, the dump and health."""
+"""HTTP routes for operators: the table, the state dump and health."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from woadrun.request import gateway
 from woadrun.version import rows
 
-STATUS_TIMEOUT = 1.0
+STATUS_TIMEOUT_SECONDS = 1.0
 
 
 class EditBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-  """An edit: each row as the editor read it and as it should be."""
+  """The body of an edit: each row as the editor read it and the new row."""
 
   changes: list[rows.RowChange]
 
 
-class VersionAt(msgspec.Struct, kw_only=True):
-  """The table version in force at one daemon; None for no answer."""
+class DaemonVersion(msgspec.Struct, kw_only=True):
+  """The table version in effect at a daemon, or None if it did not answer."""
 
   address: str
   domain: str
@@ -36,7 +36,7 @@
 
 
 class OperatorRoutes:
-  """The handlers of the operators' interface."""
+  """Handlers of the requests from operators."""
 
   def __init__(
     self,
@@ -50,11 +50,11 @@
     self._guard = guard
     self._members = members
     self._table = table
-    self._links = links
+    self._peers = links
     self._dump = dump
 
   def get_routes(self) -> list[web.RouteDef]:
-    """Returns the routes of the operators' interface."""
+    """Returns the routes for requests from operators."""
     return [
       web.get('/operate/table', self._get_table),
       web.post('/operate/table', self._edit_table),
@@ -88,36 +88,40 @@
       known.setdefault(vm.address, vm.domain)
     known.pop(self._members.address, None)
     found = await asyncio.gather(
-      *(self._ask(address, domain) for address, domain in known.items())
+      *(
+        self._fetch_version(address, domain)
+        for address, domain in known.items()
+      )
     )
-    own = VersionAt(
+    own = DaemonVersion(
       address=self._members.address,
       domain=self._members.domain,
       version=self._table.version,
     )
     return gateway.make_json([own, *found])
 
-  async def _ask(self, address: str, domain: str) -> VersionAt:
+  async def _fetch_version(self, address: str, domain: str) -> DaemonVersion:
     version: int | None = None
     try:
-      beat = await self._links.post(
+      beat = await self._peers.post(
         address,
         'heartbeat',
         self._members.make_heartbeat(),
         type=messages.Heartbeat,
-        timeout=STATUS_TIMEOUT,
+        timeout=STATUS_TIMEOUT_SECONDS,
       )
       version = beat.table_version
     except errors.WoadrunError:
       pass
-    return VersionAt(address=address, domain=domain, version=version)
+    return DaemonVersion(address=address, domain=domain, version=version)
 
   async def _get_dump(self, request: web.Request) -> web.Response:
     self._guard.get_operator(request)
     return gateway.make_json(self._dump())
 
   async def _get_health(self, request: web.Request) -> web.Response:
-    # The balancer asks without a token; a leaving daemon wants no more.
+    # The load balancer sends no token.  Status 503 keeps it from sending
+    # further requests to a daemon that is leaving.
     state = 'leaving' if self._members.is_leaving else 'ok'
     status = 503 if self._members.is_leaving else 200
     return gateway.make_json({'state': state}, status=status)
--- a/src/woadrun/process/peer_routes.py
+++ b/src/woadrun/process/peer_routes.py
@@ -1,4 +1,4 @@
-"""What this daemon answers to other daemons."""
+"""HTTP routes for requests from other daemons."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from woadrun.request import owner
 from woadrun.request import recovery
 
-Answer = Callable[[Any], Any]
+MessageHandler = Callable[[Any], Any]
 
 
 class PeerRoutes:
-  """The handlers of messages between daemons."""
+  """Handlers of the requests from other daemons."""
 
   def __init__(
     self,
@@ -59,15 +59,15 @@
     self._groups = writer
 
   def get_routes(self) -> list[web.RouteDef]:
-    """Returns the routes of messages between daemons."""
+    """Returns the routes for requests from other daemons."""
     held, local = self._held, self._local
-    answers: list[tuple[str, Any, Answer]] = [
-      ('heartbeat', messages.Heartbeat, self._answer_heartbeat),
-      ('alive', messages.AskAlive, self._answer_alive),
-      ('roster/get', messages.AskRoster, self._answer_roster),
-      ('roster/put', messages.RosterAnswer, self._take_roster),
+    handlers: list[tuple[str, Any, MessageHandler]] = [
+      ('heartbeat', messages.Heartbeat, self._handle_heartbeat),
+      ('alive', messages.AskAlive, self._handle_alive),
+      ('roster/get', messages.AskRoster, self._handle_roster_request),
+      ('roster/put', messages.RosterAnswer, self._adopt_roster),
       ('replicate', messages.Replicate, held.copies.receive),
-      ('records', messages.Group, self._groups.join),
+      ('records', messages.Group, self._groups.merge_and_store),
       ('sync', messages.Sync, held.copies.learn),
       ('sync/forget', messages.Sync, held.copies.forget),
       ('copies', messages.Copies, held.find_copied),
@@ -77,21 +77,21 @@
       ('finish', messages.Finish, self._recovery.note_finished),
       ('edits', messages.AskEdits, lambda m: self._table.get_edits(m.after)),
       ('permit', messages.Acquire, self._permits.queue),
-      ('release', messages.Releases, self._permits.take_all_back),
-      ('hold', messages.Hold, self._permits.note_held),
+      ('release', messages.Releases, self._permits.release_slots),
+      ('hold', messages.Hold, self._permits.apply_hold),
       ('limit', messages.Borrow, self._limits.lend),
-      ('limit/hold', messages.Holds, self._limits.note_held),
+      ('limit/hold', messages.Holds, self._limits.apply_holds),
       ('gone', messages.Programs, self._caches.find_gone),
       ('start', calls.Start, local.start_program),
       ('steer', calls.Steer, self._steer),
     ]
     routes = [
       web.post(f'/peer/{path}', self._make_handler(type, answer))
-      for path, type, answer in answers
+      for path, type, answer in handlers
     ]
     return [*routes, web.post('/peer/call', self._call)]
 
-  def _make_handler(self, type: Any, answer: Answer) -> gateway.Handler:
+  def _make_handler(self, type: Any, answer: MessageHandler) -> gateway.Handler:
     decoder = msgspec.json.Decoder(type)
 
     async def handle(request: web.Request) -> web.Response:
@@ -103,18 +103,20 @@
 
     return handle
 
-  def _answer_heartbeat(self, beat: messages.Heartbeat) -> messages.Heartbeat:
+  def _handle_heartbeat(self, beat: messages.Heartbeat) -> messages.Heartbeat:
     self._members.note_heartbeat(beat)
     self._held.yield_slots(beat.claims)
     return self._members.make_heartbeat()
 
-  def _answer_alive(self, ask: messages.AskAlive) -> messages.Alive:
+  def _handle_alive(self, ask: messages.AskAlive) -> messages.Alive:
     return messages.Alive(
       is_heard=self._members.hears(ask.address),
       roster_version=self._members.roster.version,
     )
 
-  def _answer_roster(self, ask: messages.AskRoster) -> messages.RosterAnswer:
+  def _handle_roster_request(
+    self, ask: messages.AskRoster
+  ) -> messages.RosterAnswer:
     if ask.domain == self._members.domain:
       return messages.RosterAnswer(
         roster=self._members.roster,
@@ -123,7 +125,7 @@
     known = self._members.directory.roster_by_domain.get(ask.domain)
     return messages.RosterAnswer(roster=known)
 
-  def _take_roster(self, message: messages.RosterAnswer) -> messages.Done:
+  def _adopt_roster(self, message: messages.RosterAnswer) -> messages.Done:
     if message.roster is not None:
       self._members.adopt(message.roster)
     return messages.Done()
@@ -145,5 +147,5 @@
       gateway.break_off(request)
       return response
     except ConnectionResetError:
-      # The gateway or its caller is gone.
+      # The gateway or its caller has closed the connection.
       return response
--- a/src/woadrun/process/storage.py
+++ b/src/woadrun/process/storage.py
@@ -1,8 +1,9 @@
-"""What the platform's object store keeps of the slots.
+"""Stores the slots' records and checkpoints in the platform's object store.
 
-Records are written behind, all slots of the daemon in one group; `groups`
-brings it to the store.  Checkpoints bound what a daemon has to read when
-it takes a slot of which no copy is left.
+Records are written asynchronously (write-behind), in groups with those of
+all slots of the daemon; `groups` writes them to the store.  Checkpoints
+bound how much a daemon has to read to recover a slot that has no copy on
+any daemon.
 """
 
 from __future__ import annotations
@@ -26,21 +27,22 @@
 
 log = logging.getLogger('woadrun.storage')
 
-# Clocks of the VMs may differ by so much before cleaning loses a record.
-CLOCK_SKEW_SECONDS = 60.0
-PARALLEL_READS = 16
-FORK_RETRY_SECONDS = 2.0
+# Largest difference between the clocks of VMs at which loading and cleaning
+# lose no record.
+MAX_CLOCK_SKEW_SECONDS = 60.0
+MAX_PARALLEL_READS = 16
+FORK_RETRY_DELAY_SECONDS = 2.0
 
 
 class Checkpoint(msgspec.Struct, frozen=True, kw_only=True):
-  """The whole state of a slot at a version."""
+  """The complete state of a slot at a version."""
 
   version: roster.Version
   state: program.SlotState
 
 
 class Storage(mode.Service):
-  """The writer of groups and checkpoints, and the reader of lost slots."""
+  """Writes groups and checkpoints, and loads slots without a copy."""
 
   def __init__(
     self,
@@ -58,51 +60,55 @@
     self._written_by_slot: dict[int, int] = {}
     self._flushed = asyncio.Event()
     self._added = asyncio.Event()
-    self._turn = groups.Turn()
-    self._flushing = asyncio.Lock()
-    self._is_hurried = False
-    self._oldest_at = 0.0
-    self._longest = 0.0
+    self._pacer = groups.WritePacer()
+    self._flush_lock = asyncio.Lock()
+    self._is_urgent = False
+    self._oldest_pending_at = 0.0
+    self._max_pending_seconds = 0.0
     self.flushes = 0
     self.last_error = ''
 
   # --- Writing --------------------------------------------------------------
 
   def add(self, append: messages.Append) -> None:
-    """Notes a batch for the next group."""
+    """Adds a batch to the next group."""
     if not self.get_pending():
-      self._oldest_at = time.monotonic()
+      self._oldest_pending_at = time.monotonic()
     self._pending.append(append)
     self._added.set()
 
   def begin(self, slot: int, tail: Iterable[messages.Append]) -> None:
-    """Takes a slot over: writes what its last owner may have left unwritten.
+    """Starts a slot's ownership and adds what its last owner left to write.
 
-    A batch that the platform has already is no harm.
+    `tail` holds the batches that the last owner may not have written.
+    Writing a batch that the platform already has is harmless.
     """
     self._written_by_slot[slot] = 0
     for append in tail:
       self.add(append)
 
   def get_written(self, slot: int) -> int:
-    """Returns up to which batch of a slot the platform surely has all."""
+    """Returns the sequence number up to which a slot is surely written."""
     return self._written_by_slot.get(slot, 0)
 
   def get_unwritten(self, slot: int) -> list[messages.Append]:
-    """Returns the batches of a slot that the platform may not have."""
+    """Returns the batches of a slot that may not have been written."""
     waiting = (*self._in_flight, *self._pending)
     return [append for append in waiting if append.slot == slot]
 
   async def wait_flushed(self, append: messages.Append) -> None:
-    """Returns once the platform has a batch that was added before."""
+    """Returns once a batch that was added before is written, urgently."""
     while any(a is append for a in (*self._pending, *self._in_flight)):
-      self._is_hurried = True
-      self._turn.hurried.set()
+      self._is_urgent = True
+      self._pacer.urgent.set()
       await self._flushed.wait()
 
   async def flush(self) -> bool:
-    """Returns whether nothing is left to write after one attempt."""
-    async with self._flushing:
+    """Tries once to write the pending batches.
+
+    Returns whether none are pending afterwards.
+    """
+    async with self._flush_lock:
       return await self._flush()
 
   async def _flush(self) -> bool:
@@ -111,48 +117,53 @@
     if not self._in_flight:
       return True
     started = time.monotonic()
-    is_hurried, self._is_hurried = self._is_hurried, False
+    is_urgent, self._is_urgent = self._is_urgent, False
     try:
-      await self._writer.write(self._in_flight, is_hurried=is_hurried)
+      await self._writer.write(self._in_flight, is_urgent=is_urgent)
     except errors.WoadrunError as error:
-      self._note_error(error)
+      self._record_error(error)
       return False
     for append in self._in_flight:
       written = self._written_by_slot.get(append.slot, 0)
       self._written_by_slot[append.slot] = max(written, append.sequence)
     self._in_flight = []
-    self._longest = max(self._longest, time.monotonic() - self._oldest_at)
-    # What came since was added after the group was made up.
-    self._oldest_at = started
+    self._max_pending_seconds = max(
+      self._max_pending_seconds, time.monotonic() - self._oldest_pending_at
+    )
+    # Batches that are still pending were added after the group was formed.
+    self._oldest_pending_at = started
     self.flushes += 1
     self.last_error = ''
     self._flushed.set()
     self._flushed = asyncio.Event()
     return not self._pending
 
-  def _note_error(self, error: errors.WoadrunError) -> None:
+  def _record_error(self, error: errors.WoadrunError) -> None:
     if not self.last_error:
-      log.warning('The object store refuses records: %s', error.message)
+      log.warning('Records not written to the object store: %s', error.message)
     self.last_error = error.message
 
   @mode.Service.task
   async def _write_groups(self) -> None:
     while not self.should_stop:
       await self._added.wait()
-      await self._turn.wait(self._writer.get_interval())
+      await self._pacer.wait(self._writer.get_interval())
       self._added.clear()
       if not await self.flush():
         self._added.set()
 
   def get_pending(self) -> int:
-    """Returns how many batches the platform does not have yet."""
+    """Returns how many batches have not been written yet."""
     return len(self._pending) + len(self._in_flight)
 
-  def get_age(self) -> float:
-    """Returns for how long some record is on two VMs only, in seconds."""
+  def get_pending_age(self) -> float:
+    """Returns the seconds for which the oldest pending batch has waited.
+
+    For this long some record has been on two VMs only.
+    """
     if not self.get_pending():
       return 0.0
-    return round(time.monotonic() - self._oldest_at, 3)
+    return round(time.monotonic() - self._oldest_pending_at, 3)
 
   async def checkpoint(
     self, slot: int, version: roster.Version, state: program.SlotState
@@ -164,7 +175,10 @@
     await self._store.put(key, value)
 
   async def keep_fork(self, slot: int, state: program.SlotState) -> None:
-    """Stores the second end of a slot's history, for operators to merge."""
+    """Stores a diverged state of a slot, for operators to merge.
+
+    Retries until the platform has stored it or the service stops.
+    """
     milliseconds = int(time.time() * 1000)
     key = f'fork/{self._domain}/{slot:04d}/{milliseconds:014d}'
     value = msgspec.json.encode(
@@ -175,13 +189,13 @@
         await self._store.put(key, value)
         return
       except errors.WoadrunError as error:
-        log.debug('Fork not stored yet: %s', error)
-        await self.sleep(FORK_RETRY_SECONDS)
+        log.debug('Fork not stored; retrying: %s', error)
+        await self.sleep(FORK_RETRY_DELAY_SECONDS)
 
   # --- Reading --------------------------------------------------------------
 
   async def load(self, slot: int, *, answers: int) -> program.SlotState:
-    """Returns a slot's state as the platform has it."""
+    """Returns a slot's state from its newest checkpoint and later records."""
     state, version, since = await self._load_checkpoint(slot)
     appends = await self._load_log(slot, since)
     return replay(state, version, appends, answers=answers)
@@ -194,46 +208,51 @@
       data = await self._store.get(key)
       if data is not None:
         found = msgspec.json.decode(data, type=Checkpoint)
-        return found.state, found.version, _get_seconds(key)
+        return found.state, found.version, _get_written_at(key)
     return program.SlotState(), roster.Version(), 0.0
 
   async def _load_log(self, slot: int, since: float) -> list[messages.Append]:
     keys = await self._store.list_keys(f'log/{self._domain}/')
-    oldest = since - CLOCK_SKEW_SECONDS
-    wanted = [key for key in keys if _get_seconds(key) >= oldest]
-    gate = asyncio.Semaphore(PARALLEL_READS)
+    oldest = since - MAX_CLOCK_SKEW_SECONDS
+    recent_keys = [key for key in keys if _get_written_at(key) >= oldest]
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_READS)
 
     async def read(key: str) -> list[messages.Append]:
-      async with gate:
+      async with semaphore:
         data = await self._store.get(key)
       decoded = msgspec.json.decode(data or b'[]', type=list[messages.Append])
       return [append for append in decoded if append.slot == slot]
 
-    groups = await asyncio.gather(*(read(key) for key in wanted))
+    groups = await asyncio.gather(*(read(key) for key in recent_keys))
     return list(itertools.chain.from_iterable(groups))
 
   # --- Cleaning -------------------------------------------------------------
 
   async def clean(self, slots: int) -> int:
-    """Returns how many objects it removed that no load needs any more."""
+    """Deletes the objects that no load needs, and returns their number.
+
+    Records are deleted only once all `slots` slots have a checkpoint.
+    """
     prefix = f'checkpoint/{self._domain}/'
     checkpoints = await self._store.list_keys(prefix)
     newest = {key.rsplit('/', 1)[0]: key for key in checkpoints}
-    stale = [key for key in checkpoints if key not in newest.values()]
+    obsolete = [key for key in checkpoints if key not in newest.values()]
     if len(newest) == slots:
-      oldest = min(map(_get_seconds, newest.values())) - 2 * CLOCK_SKEW_SECONDS
+      oldest = (
+        min(map(_get_written_at, newest.values())) - 2 * MAX_CLOCK_SKEW_SECONDS
+      )
       keys = await self._store.list_keys(f'log/{self._domain}/')
-      stale += [key for key in keys if _get_seconds(key) < oldest]
-    for key in stale:
+      obsolete += [key for key in keys if _get_written_at(key) < oldest]
+    for key in obsolete:
       await self._store.delete(key)
-    return len(stale)
+    return len(obsolete)
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of this service as plain data."""
     return {
       'pending': self.get_pending(),
-      'oldest': self.get_age(),
-      'longest': round(self._longest, 3),
+      'oldest': self.get_pending_age(),
+      'longest': round(self._max_pending_seconds, 3),
       'flushes': self.flushes,
       'writes': self._store.writes,
       'written_bytes': self._store.written_bytes,
@@ -241,7 +260,7 @@
     }
 
 
-def _get_seconds(key: str) -> float:
+def _get_written_at(key: str) -> float:
   return int(key.rsplit('/', 1)[1].split('-', 1)[0]) / 1000
 
 
@@ -252,11 +271,11 @@
   *,
   answers: int,
 ) -> program.SlotState:
-  """Returns `state` after the batches that follow it, in order.
+  """Returns `state` with the batches that follow it applied, in order.
 
-  Where two versions of the slot wrote a batch under the same number, the
-  newer one's counts, and nothing of the older one after it: its owner had
-  lost the slot by then.
+  If two versions of the slot wrote a batch with the same sequence number,
+  the newer version's batch is applied.  Later batches of the older version
+  are skipped, since its owner had lost the slot by then.
   """
   by_sequence: dict[int, messages.Append] = {}
   for append in appends:
@@ -268,8 +287,10 @@
     if sequence <= state.sequence or append.version < version:
       continue
     if sequence > state.sequence + 1:
-      lost = sequence - state.sequence - 1
-      log.error('Slot %d lost %d batches of records.', append.slot, lost)
+      missing = sequence - state.sequence - 1
+      log.error(
+        'Slot %d: %d batches of records are missing.', append.slot, missing
+      )
       state.sequence = sequence - 1
     state.apply(append.records, answers=answers)
     version = append.version
--- a/src/woadrun/process/vm_list.py
+++ b/src/woadrun/process/vm_list.py
@@ -1,7 +1,8 @@
-"""The platform's list of VMs, as this process knows it.
+"""A cached copy of the platform's list of VMs.
 
-The list lags, and may be out of reach.  The last one read stays; of
-leaving VMs a daemon then believes what others told it lately.
+The platform's list may be out of date, and reading it may fail.  The last
+list that was read is kept.  Once it has expired, a daemon learns which VMs
+are leaving from its peers' recent reports.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 log = logging.getLogger('woadrun.vms')
 
-INTERVAL_SECONDS = 2.0
-# From this many VMs on, each reads the list less often.
-FULL_RATE_VMS = 32
-# A list, or a peer's word on it, counts for so long.
-LIST_SECONDS = 10.0
+POLL_INTERVAL_SECONDS = 2.0
+# With more VMs than this, the poll interval grows with their number.
+FULL_POLL_RATE_VMS = 32
+# Time for which a list, or a peer's report of leaving VMs, is valid.
+LIST_TTL_SECONDS = 10.0
 
 
 class VmList(mode.Service):
-  """The VMs that the platform lists, by address."""
+  """The VMs that the platform lists, and which of them are leaving."""
 
   def __init__(
     self, *, config: settings.Settings, session: aiohttp.ClientSession
@@ -36,44 +37,44 @@
     self._platform = config.platform
     self._session = session
     self.vm_by_address: dict[str, vms.Vm] = {}
-    self._listed_at = float('-inf')
-    self._told_at: dict[str, float] = {}
+    self._read_at = float('-inf')
+    self._reported_at: dict[str, float] = {}
 
   async def read(self) -> None:
-    """Reads the list; the last one known stays while that fails."""
+    """Reads the list from the platform, or keeps the last one on failure."""
     try:
       listed = await vms.read(
         self._session, self._platform.vms, timeout=self._platform.timeout
       )
     except errors.WoadrunError as error:
-      log.debug('VM list not read: %s', error)
+      log.debug('VM list not read from the platform: %s', error)
       return
     self.vm_by_address = {vm.address: vm for vm in listed}
-    self._listed_at = time.monotonic()
+    self._read_at = time.monotonic()
 
   @mode.Service.task
-  async def _read_often(self) -> None:
+  async def _poll(self) -> None:
     while not self.should_stop:
       await self.read()
-      factor = max(1.0, len(self.vm_by_address) / FULL_RATE_VMS)
-      await self.sleep(INTERVAL_SECONDS * factor)
+      factor = max(1.0, len(self.vm_by_address) / FULL_POLL_RATE_VMS)
+      await self.sleep(POLL_INTERVAL_SECONDS * factor)
 
   def note_told(self, addresses: Iterable[str]) -> None:
-    """Takes in what a peer says of leaving VMs."""
+    """Records the leaving VMs that a peer reports."""
     now = time.monotonic()
-    self._told_at.update(dict.fromkeys(addresses, now))
+    self._reported_at.update(dict.fromkeys(addresses, now))
 
   def get_leaving(self) -> set[str]:
-    """Returns the VMs that the platform is about to take away."""
+    """Returns the addresses of the VMs that the platform will remove soon."""
     now = time.monotonic()
-    if now - self._listed_at < LIST_SECONDS:
+    if now - self._read_at < LIST_TTL_SECONDS:
       listed = self.vm_by_address.values()
       return {vm.address for vm in listed if vm.state == vms.LEAVING}
-    told = self._told_at.items()
-    return {address for address, at in told if now - at < LIST_SECONDS}
+    reported = self._reported_at.items()
+    return {address for address, at in reported if now - at < LIST_TTL_SECONDS}
 
   def get_staying(self, domains: Iterable[str]) -> list[str]:
-    """Returns the VMs of some failure domains that are not leaving."""
+    """Returns the addresses of VMs in some domains that are not leaving."""
     wanted = set(domains)
     return [
       vm.address
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted edit is in force everywhere soon and never reverts."""
+"""Accepted edits of the table reach all daemons soon and never revert."""
 
 import asyncio
 import time
@@ -10,8 +10,8 @@
 from woadrun import errors
 from woadrun.version import rows
 
-# The bound that the users set, in seconds.
-EVERYWHERE = 3.0
+# Required bound for an edit to be in effect at all daemons.
+PROPAGATION_LIMIT_SECONDS = 3.0
 
 
 async def get_versions(fleet):
@@ -19,21 +19,21 @@
   return [d['configuration']['version'] for d in dumps if d]
 
 
-async def test_an_edit_is_in_force_everywhere_within_the_bound(tmp_path):
+async def test_edit_is_in_effect_at_all_daemons_within_the_bound(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnsswww') as fleet:
     for weight in (2.0, 3.0, 4.0):
       version = await fleet.edit(fleet.nodes[0], riders={'weight': weight})
       accepted = time.monotonic()
       await fleet.wait_version(version)
-      assert time.monotonic() - accepted < EVERYWHERE
-    told = await fleet.make_operator(fleet.nodes[3]).ask(
+      assert time.monotonic() - accepted < PROPAGATION_LIMIT_SECONDS
+    statuses = await fleet.make_operator(fleet.nodes[3]).ask(
       'GET', '/operate/table/status'
     )
-  assert {v['version'] for v in told} == {version}
-  assert len(told) == 7
+  assert {v['version'] for v in statuses} == {version}
+  assert len(statuses) == 7
 
 
-async def test_of_two_racing_operators_one_wins(tmp_path):
+async def test_one_of_several_concurrent_edits_wins(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nns') as fleet:
     operators = [fleet.make_operator(n) for n in fleet.nodes]
     table = await operators[0].ask('GET', '/operate/table')
@@ -60,7 +60,7 @@
     assert error.details[0]['after']['weight'] == weight
 
 
-async def test_a_lost_answer_neither_doubles_nor_loses_an_edit(tmp_path):
+async def test_lost_response_neither_duplicates_nor_loses_an_edit(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nn') as fleet:
     first = (await get_versions(fleet))[0]
     fleet.outside.platform.faults.lose = 1
@@ -71,7 +71,7 @@
   assert again == version + 1
 
 
-async def test_an_edit_that_cannot_be_kept_is_not_accepted(tmp_path):
+async def test_edit_that_cannot_be_stored_is_not_accepted(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nn') as fleet:
     before = await get_versions(fleet)
     fleet.outside.platform.faults.down = True
@@ -91,7 +91,9 @@
   assert fault.code == 'bad_request' and 'weight' in fault.details[0]
 
 
-async def test_a_daemon_that_starts_in_an_outage_has_the_newest(tmp_path):
+async def test_daemon_that_starts_during_an_outage_gets_the_newest_table(
+  tmp_path,
+):
   async with fleets.make_fleet(tmp_path, 'nnn') as fleet:
     old, *others = fleet.nodes
     old.kill()
@@ -106,20 +108,21 @@
     )
     await fleet.start(old)
     await fleet.wait_version(version, old)
-    # It passes requests on, and it serves nothing with an older table.
+    # The daemon forwards requests, and serves nothing from an older table.
     found = await fleet.make_client(old).start('riders', 500)
     error = await fleets.get_refusal(fleet.make_client(old).start('x', 500))
   assert found['budget'] == 500
   assert error.code == 'unknown_team'
 
 
-async def test_a_domain_cut_off_from_the_platform_hears_of_edits(tmp_path):
+async def test_domain_cut_off_from_the_platform_receives_edits(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnss') as fleet:
     north, south = fleet.nodes[:2], fleet.nodes[2:]
     fleet.cut_platform(*south)
     version = await fleet.edit(north[0], riders={'weight': 8.0})
     await fleet.wait_version(version)
-    # Cut off from both, it keeps what it has, and catches up afterwards.
+    # Cut off from north as well, south keeps its version and catches up after
+    # the partition heals.
     fleet.cut(north, south)
     later = await fleet.edit(north[0], riders={'weight': 9.0})
     await fleet.wait_version(later, *north)
@@ -140,7 +143,7 @@
 
 
 @given(data=strategies.lists(row_data, unique_by=lambda r: r['key']))
-def test_a_table_survives_its_way_through_a_spreadsheet(data):
+def test_table_survives_a_csv_round_trip(data):
   table = {r['key']: rows.Row.model_validate(r) for r in data}
   assert rows.from_csv(rows.to_csv(table), file='x') == table
 
@@ -149,7 +152,7 @@
   one=strategies.lists(row_data, unique_by=lambda r: r['key']),
   two=strategies.lists(row_data, unique_by=lambda r: r['key']),
 )
-def test_changes_lead_from_one_table_to_the_other(one, two):
+def test_applied_changes_turn_the_old_table_into_the_new_one(one, two):
   old = {r['key']: rows.Row.model_validate(r) for r in one}
   new = {r['key']: rows.Row.model_validate(r) for r in two}
   changes = tuple(rows.find_changes(old, new))
@@ -160,7 +163,9 @@
   assert is_conflict == bool(changes)
 
 
-async def test_a_new_daemon_in_an_outage_learns_from_its_seeds(tmp_path):
+async def test_new_daemon_during_an_outage_gets_the_table_from_its_seeds(
+  tmp_path,
+):
   async with fleets.make_fleet(tmp_path, 'nn') as fleet:
     newest = (await get_versions(fleet))[0]
     seeds = [n.address for n in fleet.nodes]
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Groups of records on their way to the object store, through writers."""
+"""Groups of records written to the object store through writers."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
   domains=strategies.integers(1, 100),
   budget=strategies.floats(100, 500),
 )
-def test_groups_are_written_within_a_second_and_the_rate(
+def test_write_interval_respects_the_longest_interval_and_the_write_rate(
   members, domains, budget
 ):
   writers = pace.get_writers(members, domains, budget) * domains
@@ -37,9 +37,13 @@
 @hypothesis.given(
   strategies.lists(strategies.lists(strategies.integers() | strategies.text()))
 )
-def test_joined_arrays_are_what_parsing_them_would_give(lists):
-  joined = groups.join_arrays(msgspec.json.encode(items) for items in lists)
-  assert msgspec.json.decode(joined) == [x for items in lists for x in items]
+def test_concatenated_arrays_equal_the_concatenation_of_parsed_arrays(lists):
+  concatenated = groups.concatenate_arrays(
+    msgspec.json.encode(items) for items in lists
+  )
+  assert msgspec.json.decode(concatenated) == [
+    x for items in lists for x in items
+  ]
 
 
 class Vms:
@@ -48,7 +52,7 @@
 
 
 class Members:
-  """A domain of some daemons, as one of them knows it."""
+  """The members of a failure domain, as seen by one of them."""
 
   vms = Vms()
 
@@ -75,13 +79,15 @@
   async def put(self, key, value):
     await asyncio.sleep(0)
     if self.is_down:
-      raise errors.WoadrunError(errors.Code.PLATFORM_UNAVAILABLE, 'down')
+      raise errors.WoadrunError(
+        errors.Code.PLATFORM_UNAVAILABLE, 'The platform is down.'
+      )
     assert key not in self.objects
     self.objects[key] = value
 
 
 class Links:
-  """Messages to the other daemons, of which some are dead."""
+  """A messenger to other daemons, some of which do not answer."""
 
   def __init__(self):
     self.part_by_address = {}
@@ -89,10 +95,12 @@
 
   async def post(self, address, path, message, **options):
     if address in self.dead:
-      raise errors.WoadrunError(errors.Code.OWNER_UNAVAILABLE, 'dead')
+      raise errors.WoadrunError(
+        errors.Code.OWNER_UNAVAILABLE, 'The daemon is dead.'
+      )
     data = msgspec.json.encode(message)
     group = msgspec.json.decode(data, type=messages.Group)
-    return await self.part_by_address[address].join(group)
+    return await self.part_by_address[address].merge_and_store(group)
 
 
 def make_domain(count, writes_per_second):
@@ -124,7 +132,7 @@
 async def write_all(links, senders):
   parts = list(links.part_by_address.values())
   results = await asyncio.gather(
-    *(parts[n].write([make_append(n)], is_hurried=False) for n in senders),
+    *(parts[n].write([make_append(n)], is_urgent=False) for n in senders),
     return_exceptions=True,
   )
   return [r for r in results if r is not None]
@@ -138,19 +146,19 @@
   )
 
 
-async def test_a_few_writers_write_for_all_daemons():
+async def test_a_few_writers_write_the_groups_of_all_daemons():
   store, links = make_domain(40, writes_per_second=8)
   assert not await write_all(links, range(40))
   assert read_slots(store) == list(range(40))
   assert len(store.objects) <= 4
-  # Where each can write for itself often enough, nobody asks another.
+  # If the write rate suffices for all daemons, each writes its own groups.
   store, links = make_domain(4, writes_per_second=200)
   links.dead = set(links.part_by_address)
   assert not await write_all(links, range(4))
   assert len(store.objects) == 4
 
 
-async def test_a_group_whose_writer_died_is_written_by_its_sender():
+async def test_sender_writes_a_group_itself_when_the_writer_is_dead():
   store, links = make_domain(10, writes_per_second=4)
   parts = links.part_by_address
   writers = {part.get_writer() for part in parts.values()}
@@ -159,22 +167,24 @@
   senders = [n for n, address in enumerate(parts) if address not in writers]
   assert not await write_all(links, senders)
   assert read_slots(store) == senders
-  assert sum(part.detours for part in parts.values()) == len(senders)
+  assert sum(part.fallback_writes for part in parts.values()) == len(senders)
 
 
-async def test_while_the_platform_is_out_senders_do_not_rush_to_it():
+async def test_senders_do_not_write_directly_during_a_platform_outage():
   store, links = make_domain(10, writes_per_second=4)
   store.is_down = True
   failed = await write_all(links, range(10))
   assert [e.code for e in failed] == ['platform_unavailable'] * 10
-  assert not any(part.detours for part in links.part_by_address.values())
+  assert not any(
+    part.fallback_writes for part in links.part_by_address.values()
+  )
   store.is_down = False
   assert not await write_all(links, range(10))
   assert read_slots(store) == list(range(10))
 
 
-async def test_a_successor_writes_what_a_dead_owner_left_unwritten():
-  # The owner had written its first batch and told the standby so.
+async def test_new_owner_writes_what_a_dead_owner_left_unwritten():
+  # The owner has written its first batch and has reported it to the standby.
   replica = slots.Replica(
     owner='a', version=roster.Version(1), state=program.SlotState()
   )
@@ -184,34 +194,42 @@
   assert [append.sequence for append in replica.tail] == [2, 3]
   store, links = make_domain(1, writes_per_second=200)
   [writer] = links.part_by_address.values()
-  kept = storage.Storage(config=writer._config, store=store, writer=writer)
-  kept.begin(5, replica.tail)
-  assert kept.get_unwritten(5) == list(replica.tail) and not kept.get_unwritten(
-    4
+  slot_store = storage.Storage(
+    config=writer._config, store=store, writer=writer
   )
-  assert await kept.flush()
+  slot_store.begin(5, replica.tail)
+  assert slot_store.get_unwritten(5) == list(
+    replica.tail
+  ) and not slot_store.get_unwritten(4)
+  assert await slot_store.flush()
   assert read_slots(store) == [5, 5]
-  assert kept.get_written(5) == 3 and not kept.get_unwritten(5)
-  # Another end of the history may have been here before.
-  kept.begin(5, [])
-  assert kept.get_written(5) == 0
+  assert slot_store.get_written(5) == 3 and not slot_store.get_unwritten(5)
+  # A slot taken over again starts with nothing counted as written: a diverged
+  # history of it may have been written before.
+  slot_store.begin(5, [])
+  assert slot_store.get_written(5) == 0
 
 
 @pytest.mark.parametrize('is_writer', [True, False])
-async def test_a_domain_with_writers_comes_back_whole(tmp_path, is_writer):
+async def test_domain_with_writers_recovers_all_programs_after_a_restart(
+  tmp_path, is_writer
+):
   sections = {'platform': {'writes_per_second': 4.0}}
   async with fleets.make_fleet(tmp_path, 'nnnn', sections) as fleet:
     caller = fleet.make_client(patience=60.0)
-    told = {}
+    expected = {}
 
-    async def talk(number):
+    async def converse(number):
       name = (await caller.start('riders', 50_000))['id']
-      told[name] = []
+      expected[name] = []
       for turn in range(4):
         text = f'{number} {turn}'
-        told[name] += [text, await caller.say(name, text, model=local.MODEL)]
+        expected[name] += [
+          text,
+          await caller.say(name, text, model=local.MODEL),
+        ]
 
-    tasks = [asyncio.ensure_future(talk(n)) for n in range(4)]
+    tasks = [asyncio.ensure_future(converse(n)) for n in range(4)]
     dumps = [await fleet.dump(n) for n in fleet.nodes]
     writers = {d['storage']['groups']['writer'] for d in dumps}
     assert len(writers) <= 2
@@ -224,6 +242,6 @@
     await fleet.wait_ready()
     await fleet.wait_written()
     await fleet.restart()
-    for name, texts in told.items():
+    for name, texts in expected.items():
       history = await caller.ask('GET', f'/v1/programs/{name}/history')
       assert [m['content'] for m in history['messages']] == texts
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Budgets, limits of rows, and engine memory of programs that are gone."""
+"""Token budgets, limits of rows and the reclaim of engine caches."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 class BudgetMachine(stateful.RuleBasedStateMachine):
-  """Any order of calls, sub-agents, failures and ends keeps the budget."""
+  """Checks budgets under any order of calls, sub-agents, failures and ends."""
 
   def __init__(self):
     super().__init__()
@@ -114,7 +114,7 @@
       assert sum(self.true_spent[n] for n in family) <= found.started.budget
 
 
-def test_budgets_hold_in_any_order():
+def test_budgets_hold_in_any_order_of_events():
   stateful.run_state_machine_as_test(
     BudgetMachine,
     settings=hypothesis.settings(max_examples=150, stateful_step_count=30),
@@ -125,14 +125,14 @@
   limit=strategies.integers(0, 10_000),
   domains=strategies.integers(1, 26),
 )
-def test_shares_of_a_limit_add_up_to_it(limit, domains):
+def test_shares_of_a_limit_sum_to_the_limit(limit, domains):
   names = [f'd{n:02}' for n in range(domains)]
   shares = [admission.get_share(limit, names, name) for name in names]
   assert sum(shares) == limit
   assert max(shares) - min(shares) <= 1
 
 
-async def test_a_budget_holds_with_concurrent_calls_and_a_takeover(tmp_path):
+async def test_budget_holds_with_concurrent_calls_and_a_takeover(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnn', token_seconds=0.01) as fleet:
     caller = fleet.make_client(patience=20.0)
     name = (await caller.start('riders', 600))['id']
@@ -161,27 +161,27 @@
   assert state['carved'] == state['reserved'] == 0
 
 
-async def test_a_small_limit_holds_across_all_domains(tmp_path):
+async def test_small_limit_holds_across_all_domains(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnss', token_seconds=0.01) as fleet:
     version = await fleet.edit(fleet.nodes[0], riders={'concurrency': 2})
     await fleet.wait_version(version)
     caller = fleet.make_client(patience=60.0)
     most = 0
 
-    async def watch():
+    async def sample():
       nonlocal most
       while True:
         running = sum(e._gate.running for e in fleet.outside.engines)
         most = max(most, running)
         await asyncio.sleep(0.002)
 
-    async def one(number):
+    async def run_program(number):
       name = (await caller.start('riders', 5000))['id']
       await caller.say(name, f'{number}', model=local.MODEL)
 
-    watcher = asyncio.ensure_future(watch())
-    await asyncio.gather(*(one(n) for n in range(16)))
-    watcher.cancel()
+    sampler = asyncio.ensure_future(sample())
+    await asyncio.gather(*(run_program(n) for n in range(16)))
+    sampler.cancel()
   assert 1 <= most <= 2
   assert caller.retries > 0
 
@@ -195,7 +195,7 @@
   return salts
 
 
-async def test_memory_of_programs_that_are_gone_is_given_back(tmp_path):
+async def test_caches_of_programs_that_are_gone_are_dropped(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnn') as fleet:
     version = await fleet.edit(fleet.nodes[0], crews={'idle_limit': 1.0})
     await fleet.wait_version(version)
@@ -210,8 +210,8 @@
     assert names['kept'] in await get_cached(fleet)
     await caller.ask('POST', f'/v1/programs/{names["ended"]}/end')
     await caller.ask('POST', f'/v1/programs/{names["cancelled"]}/cancel')
-    # The orders to drop this one's cache are all refused: only the
-    # engine's own list tells of it later.
+    # Engines refuse all commands to drop this program's cache, so that only
+    # the comparison with the engine's list finds the cache later.
     for part in fleet.outside.engines:
       part._fencing = 10**9
     await caller.ask('POST', f'/v1/programs/{names["missed"]}/end')
@@ -220,13 +220,13 @@
     for part in fleet.outside.engines:
       part._fencing = 0
 
-    async def is_given_back():
+    async def is_dropped():
       return await get_cached(fleet) == {names['kept']}
 
-    await fleets.until(is_given_back)
+    await fleets.until(is_dropped)
 
 
-async def test_memory_is_given_back_when_the_owner_died(tmp_path):
+async def test_cache_is_dropped_when_the_owner_has_died(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnn') as fleet:
     caller = fleet.make_client()
     name = (await caller.start('riders', 5000))['id']
@@ -236,16 +236,16 @@
     caller.addresses = [n.listen for n in fleet.nodes if n is not owner]
     await caller.ask('POST', f'/v1/programs/{name}/end')
 
-    async def is_given_back():
+    async def is_dropped():
       return not await get_cached(fleet)
 
-    await fleets.until(is_given_back)
+    await fleets.until(is_dropped)
 
 
-async def test_a_leaving_engine_gets_no_new_work(tmp_path):
+async def test_leaving_engine_gets_no_new_calls(tmp_path):
   async with fleets.make_fleet(tmp_path, 'nnss') as fleet:
     south = fleet.nodes[2:]
-    # South hears nothing of the list; north tells it.
+    # South cannot read the VM list and learns of it from north.
     fleet.cut_platform(*south)
     caller = fleet.make_client()
     leaving = fleet.outside.engines[0]
@@ -271,8 +271,10 @@
     assert sum(e.calls for e in fleet.outside.engines) >= 12
 
 
-async def test_orders_to_an_engine_count_by_its_own_domains_roster(tmp_path):
-  """A domain that has changed its roster more often blocks no other."""
+async def test_commands_to_an_engine_are_fenced_by_its_own_domains_roster(
+  tmp_path,
+):
+  """Fencing tokens of a domain with more roster versions block no other one."""
   async with fleets.make_fleet(tmp_path, 'nnsss', engines=1) as fleet:
     south = fleet.nodes[2:]
     for _ in range(2):
@@ -288,36 +290,37 @@
     while {n.split('.')[0] for n in names} != {'north', 'south'}:
       names.append((await caller.start('riders', 5000))['id'])
       await caller.say(names[-1], 'x', model=local.MODEL)
-    # South's programs end first: a number of south's would stop north's.
+    # South's programs end first.  If its fencing tokens, which are higher,
+    # reached north's engine, that engine would refuse north's commands.
     for name in sorted(names, reverse=True):
       await caller.ask('POST', f'/v1/programs/{name}/end')
 
-    async def is_given_back():
+    async def is_dropped():
       return not await get_cached(fleet)
 
-    await fleets.until(is_given_back, 20)
+    await fleets.until(is_dropped, 20)
 
 
-async def test_a_daemon_holds_no_more_programs_than_it_may(tmp_path):
+async def test_daemon_enforces_its_limit_of_programs(tmp_path):
   few = {'limits': {'programs': 3}}
   async with fleets.make_fleet(tmp_path, 'n', few) as fleet:
     caller = fleet.make_client(patience=0.0)
-    # The slot follows from the request's id: with ids drawn anew, all three
-    # lay in one slot once in 256 runs.
+    # The slot is derived from the request ID.  With random IDs, all three
+    # programs were in one slot once in 256 runs.
     names = [
       (await caller.start('riders', 500, request=f'p{number}'))['id']
       for number in range(3)
     ]
-    # They lie in different slots: the bound is the daemon's.
+    # The programs are in different slots, since the limit is per daemon.
     assert len({name.split('.')[1] for name in names}) > 1
     error = await fleets.get_refusal(caller.start('riders', 500))
     assert error.code == 'storage_full' and error.retry_after
     assert error.ran is errors.Ran.NOT_RUN
-    # A program's own sub-agents still find room.
+    # Sub-agents of an existing program are still admitted.
     assert await caller.start('riders', 100, parent=names[0])
 
 
-def test_a_finished_call_leaves_no_second_copy_of_its_messages():
+def test_finished_call_does_not_keep_a_second_copy_of_its_messages():
   state = program.SlotState()
   started = program.Started(
     program='p', team='t', kind='k', budget=10**6, deadline_at=9.0, time=0.0
@@ -340,8 +343,8 @@
   assert len(msgspec.json.encode(state)) < 20 * 1000 * 1.5
 
 
-async def test_records_carry_only_what_a_call_adds(tmp_path):
-  """Clients that send the whole conversation cost no more records."""
+async def test_records_contain_only_the_messages_that_a_call_adds(tmp_path):
+  """Sending the whole conversation with each call does not enlarge records."""
   async with fleets.make_fleet(tmp_path, 'nn') as fleet:
     caller = fleet.make_client()
     name = (await caller.start('riders', 200_000))['id']
@@ -359,25 +362,26 @@
     await fleet.wait_written()
     owner = await fleet.find_owner(name)
     written = (await fleet.dump(owner))['storage']['written_bytes']
-  # Once with the intent and once with the outcome, and some small parts.
+  # Messages are written with the intent and with the outcome; the third share
+  # allows for the smaller fields.
   assert written < 3 * size
 
 
-async def test_a_keeper_that_is_behind_with_the_table_asks_to_come_back():
+async def test_keeper_with_an_outdated_table_returns_a_retryable_error():
   keeper = limits.Limits(
     config=make_config(),
     members=Members(),
     links=None,
     get_row=lambda key: None,
   )
-  ask = messages.Borrow(holder='x', row='riders', in_use=0, is_more=True)
-  error = await fleets.get_refusal(keeper.lend(ask))
+  request = messages.Borrow(holder='x', row='riders', in_use=0, is_more=True)
+  error = await fleets.get_refusal(keeper.lend(request))
   assert error.code == 'config_unavailable' and error.retry_after
   assert error.ran is errors.Ran.NOT_RUN
 
 
 class Keepers:
-  """Keepers that lend one call and as many places as are wanted."""
+  """Keepers that lend one call and every place that is requested."""
 
   def __init__(self, members, gone=()):
     self._members = members
@@ -388,9 +392,11 @@
     self.asked.append(keeper)
     await asyncio.sleep(0)
     if keeper in self._gone:
-      # It is taken out of the roster as the call is under way.
+      # The keeper is removed from the roster while the request is pending.
       self._members.keeper = '127.0.0.1:3'
-      raise errors.WoadrunError(errors.Code.OWNER_UNAVAILABLE, 'It is gone.')
+      raise errors.WoadrunError(
+        errors.Code.OWNER_UNAVAILABLE, 'The keeper is gone.'
+      )
     return messages.Lent(places=ask.in_use + ask.is_more, calls=1)
 
 
@@ -404,17 +410,17 @@
   return borrower, keepers
 
 
-async def test_calls_at_once_get_the_places_that_are_free():
+async def test_concurrent_calls_get_the_free_places():
   borrower, _ = make_borrower()
   row = rows.Row(key='riders')
-  # One place, none of it in use, and no call left: both ask for calls only.
+  # One unused place and no calls left: both requests ask for calls only.
   borrowed = limits.Borrowed(places=1)
   borrower._borrowed_by_row['riders'] = borrowed
   await asyncio.gather(*(borrower.acquire(row, f'q{n}') for n in range(2)))
   assert borrowed.in_use == {'q0', 'q1'}
 
 
-async def test_a_keeper_that_left_refuses_no_call():
+async def test_departed_keeper_does_not_fail_a_call():
   borrower, keepers = make_borrower(gone=('127.0.0.1:2',))
   await borrower.acquire(rows.Row(key='riders'), 'p')
   assert keepers.asked == ['127.0.0.1:2', '127.0.0.1:3']
