--- a/src/woadrun/process/daemon.py
+++ b/src/woadrun/process/daemon.py
@@ -49,8 +49,8 @@
 MAX_HEADER_BYTES = 16_384
 # Short, since all requests are finished before the listener closes.
 SHUTDOWN_TIMEOUT_SECONDS = 1.0
-# Time without requests before a planned stop: the load balancer may send
-# requests for this long after the health check has reported `leaving`.
+# A planned stop continues after this time without requests: the load balancer
+# may send requests for this long after the health check reports `leaving`.
 DRAIN_IDLE_SECONDS = 1.0
 STOP_POLL_INTERVAL_SECONDS = 0.1
 
@@ -68,9 +68,9 @@
   # --- Starting -------------------------------------------------------------
 
   async def on_start(self) -> None:
-    """Builds and starts all services and the listener, and reads the VMs.
+    """Starts all services and the listener, and reads the VM list.
 
-    The started services then join the failure domain.
+    `_maintain_membership` then joins the failure domain.
     """
     self._build_connections()
     self._build_state()
--- a/src/woadrun/process/dispatcher.py
+++ b/src/woadrun/process/dispatcher.py
@@ -133,7 +133,7 @@
     self.clock: Callable[[], float] = time.monotonic
     members.loads = self.get_loads
     members.listeners.append(self._on_roster_change)
-    members.known_listeners.append(self._release_dead_holders)
+    members.known_listeners.append(self._drop_gone)
 
   # --- Acquiring permits ----------------------------------------------------
 
@@ -327,7 +327,7 @@
 
   # --- Roster changes and reconciliation ------------------------------------
 
-  def _release_dead_holders(self) -> None:
+  def _drop_gone(self) -> None:
     known = self._members.directory.get_known_processes()
     for upstream in self.upstream_by_name.values():
       for permit, holder in list(upstream.holder_by_permit.items()):
--- a/src/woadrun/process/limits.py
+++ b/src/woadrun/process/limits.py
@@ -77,9 +77,9 @@
 
   `peak_in_use` is the largest number of places in use since unused ones were
   last returned.  `number` is the sequence number of the last message about
-  the row, and `pending_requests` counts requests without a response.  While
-  there are any, `is_return_deferred` tells that places are to be returned
-  once all are answered.
+  the row.  `pending_requests` counts requests without a response, and
+  `is_return_deferred` is set if places are to be returned once all of these
+  requests are answered.
   """
 
   keeper: str = ''
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Token budgets, limits of rows and the reclaim of engine caches."""
+"""Token budgets, limits of rows and the removal of stale engine caches."""
 
 import asyncio
 
