--- a/src/woadrun/__init__.py
+++ b/src/woadrun/__init__.py
@@ -1,3 +1,3 @@
-"""A scheduler for agent programs that runs as many equal daemons."""
+"""A scheduler for agent programs, run as a group of identical daemons."""
 
 __version__ = '0.1.0'
--- a/src/woadrun/__main__.py
+++ b/src/woadrun/__main__.py
@@ -1,4 +1,4 @@
-"""The entry of `python -m woadrun` and of the single-file program."""
+"""Entry point of `python -m woadrun` and of the single-file executable."""
 
 from woadrun.cli import app
 
--- a/src/woadrun/connection/__init__.py
+++ b/src/woadrun/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection: adapters of outside systems and of peers."""
+"""Clients of external systems and peers, and the messages between daemons."""
--- a/src/woadrun/connection/client.py
+++ b/src/woadrun/connection/client.py
@@ -1,6 +1,7 @@
-"""A client of the callers' and the operators' interfaces.
+"""A client of the HTTP APIs for callers and operators.
 
-It retries as a caller should: under the same id, through any daemon.
+The client retries a failed request with the same idempotency key, through any
+daemon.
 """
 
 from __future__ import annotations
@@ -17,13 +18,17 @@
 
 from woadrun import errors
 
-RETRY_SECONDS = 0.1
-ATTEMPT_SECONDS = 60.0
-FAULTS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+RETRY_DELAY_SECONDS = 0.1
+ATTEMPT_TIMEOUT_SECONDS = 60.0
+TRANSPORT_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class Client:
-  """A caller that knows several daemons."""
+  """A client that sends each attempt to a random one of several daemons.
+
+  A failed request is retried until `patience` seconds have passed since its
+  first attempt.  `retries` counts the retries of all requests.
+  """
 
   def __init__(
     self,
@@ -42,12 +47,12 @@
   async def start(
     self, team: str, budget: int, *, request: str = '', **options: Any
   ) -> dict[str, Any]:
-    """Returns a new program."""
+    """Starts a program and returns its description."""
     body = {'team': team, 'budget': budget, **options}
-    found: dict[str, Any] = await self.ask(
+    answer: dict[str, Any] = await self.ask(
       'POST', '/v1/programs', body, request=request
     )
-    return found
+    return answer
 
   async def say(
     self,
@@ -60,7 +65,7 @@
     is_stream: bool = True,
     **options: Any,
   ) -> str:
-    """Returns what a model answers to one more message of a program."""
+    """Sends a user message in a program and returns the model's reply."""
     headers = {'Woadrun-Program': program, 'Woadrun-History': 'append'}
     if ordinal:
       headers['Woadrun-Ordinal'] = str(ordinal)
@@ -70,7 +75,7 @@
       'stream': is_stream,
       **options,
     }
-    data = await self.ask_bytes(
+    data = await self.request_bytes(
       'POST', '/v1/chat/completions', body, request=request, headers=headers
     )
     return read_content(data)
@@ -84,14 +89,14 @@
     request: str = '',
     is_repeatable: bool = False,
   ) -> dict[str, Any]:
-    """Returns what a service answers; `target` is `service/action`."""
+    """Calls the action `target` (`service/action`) and returns its result."""
     service, action = target.split('/')
     headers = {'Woadrun-Repeatable': 'true'} if is_repeatable else {}
     path = f'/v1/programs/{program}/services/{service}/{action}'
-    found: dict[str, Any] = await self.ask(
+    answer: dict[str, Any] = await self.ask(
       'POST', path, body, request=request, headers=headers
     )
-    return found
+    return answer
 
   async def ask(
     self,
@@ -102,13 +107,13 @@
     request: str = '',
     headers: dict[str, str] | None = None,
   ) -> Any:
-    """Returns a JSON answer."""
-    data = await self.ask_bytes(
+    """Sends a request and returns its decoded JSON response."""
+    data = await self.request_bytes(
       method, path, body, request=request, headers=headers
     )
     return msgspec.json.decode(data)
 
-  async def ask_bytes(
+  async def request_bytes(
     self,
     method: str,
     path: str,
@@ -117,11 +122,13 @@
     request: str = '',
     headers: dict[str, str] | None = None,
   ) -> bytes:
-    """Returns an answer, tried again through any daemon until it is whole.
+    """Returns the body of a complete response, retrying through any daemon.
 
-    Raises the refusal that the caller has to deal with itself.
+    Retries after transport errors and after errors that carry `retry_after`.
+    Raises any other error at once, and the last error after the time for
+    retries.
     """
-    sent = {
+    all_headers = {
       'Authorization': f'Bearer {self._token}',
       'Idempotency-Key': request or secrets.token_hex(12),
       **(headers or {}),
@@ -129,19 +136,19 @@
     deadline = time.monotonic() + self._patience
     while True:
       try:
-        return await self._ask_once(method, path, body, sent)
-      except FAULTS:
+        return await self._send_once(method, path, body, all_headers)
+      except TRANSPORT_ERRORS:
         if time.monotonic() > deadline:
           raise
-        pause = RETRY_SECONDS
+        delay = RETRY_DELAY_SECONDS
       except errors.WoadrunError as error:
         if error.retry_after is None or time.monotonic() > deadline:
           raise
-        pause = error.retry_after
+        delay = error.retry_after
       self.retries += 1
-      await asyncio.sleep(pause)
+      await asyncio.sleep(delay)
 
-  async def _ask_once(
+  async def _send_once(
     self, method: str, path: str, body: Any, headers: dict[str, str]
   ) -> bytes:
     address = random.choice(self.addresses)
@@ -151,16 +158,16 @@
       f'http://{address}{path}',
       data=data,
       headers=headers,
-      timeout=aiohttp.ClientTimeout(total=ATTEMPT_SECONDS),
+      timeout=aiohttp.ClientTimeout(total=ATTEMPT_TIMEOUT_SECONDS),
     ) as response:
-      found = await response.read()
+      content = await response.read()
       if response.headers.get('Woadrun-Error'):
-        raise errors.from_body(found)
-      return found
+        raise errors.from_body(content)
+      return content
 
 
 def read_content(data: bytes) -> str:
-  """Returns the message of an answer, streamed or whole."""
+  """Returns the text of a chat completion, streamed or not."""
   if data.startswith(b'data: '):
     events = [
       msgspec.json.decode(line[6:])
--- a/src/woadrun/connection/engine.py
+++ b/src/woadrun/connection/engine.py
@@ -1,7 +1,7 @@
-"""The adapter of a model engine.
+"""A client of a model engine.
 
-The call has the shape of the well-known chat completions over HTTP with
-server-sent events; `priority` and `cache_salt` are the usual extensions.
+Model calls use the chat completions API over HTTP with server-sent events;
+`priority` and `cache_salt` are common extensions of that API.
 """
 
 from __future__ import annotations
@@ -16,15 +16,19 @@
 from woadrun import errors
 from woadrun.connection import http
 
-ADMIN_TIMEOUT = 2.0
-CONNECT_TIMEOUT = 1.0
-# An engine that sends nothing for so long counts as hung.
-READ_TIMEOUT = 30.0
+ADMIN_TIMEOUT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+# An engine that sends nothing for this long is considered hung.
+READ_TIMEOUT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ModelCall:
-  """A model call as it goes to an engine."""
+  """A model call to an engine.
+
+  `stream` identifies the attempt, so that its stream can be resumed.
+  `program` becomes the salt of the prefix cache.
+  """
 
   stream: str
   program: str
@@ -33,41 +37,41 @@
 
 
 class CachedPrefix(msgspec.Struct, frozen=True, kw_only=True):
-  """Prefix cache held under one salt: a program's, in tokens."""
+  """The size in tokens of the prefix cache of one salt, which is a program."""
 
   salt: str
   tokens: int
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-  """Token counts of one call, as the engine reports them."""
+  """Token counts of one call, as reported by the engine."""
 
   prompt_tokens: int = 0
   completion_tokens: int = 0
 
 
 class Delta(msgspec.Struct, frozen=True):
-  """A piece of an answer's message."""
+  """A fragment of the message in a streamed response."""
 
   content: str | None = None
 
 
 class Choice(msgspec.Struct, frozen=True):
-  """One of an event's choices."""
+  """One choice of a server-sent event."""
 
   delta: Delta = Delta()
   finish_reason: str | None = None
 
 
 class Event(msgspec.Struct, frozen=True):
-  """One server-sent event of an answer."""
+  """One server-sent event of a streamed response."""
 
   choices: list[Choice] = []
   usage: Usage | None = None
 
 
 class EngineRefused(Exception):
-  """Raised when an engine answers with an error before it ran the call."""
+  """Raised when an engine rejects a call before running it."""
 
   def __init__(self, status: int, body: bytes) -> None:
     super().__init__(f'status {status}: {body[:200].decode(errors="replace")}')
@@ -82,7 +86,10 @@
     self._url = url.rstrip('/')
 
   async def stream(self, call: ModelCall) -> AsyncGenerator[bytes, None]:
-    """Yields the bytes of the answer's event stream."""
+    """Starts a model call and yields the bytes of its event stream.
+
+    Raises `EngineRefused` when the engine's status is not 200.
+    """
     body = {
       **call.body,
       'stream': True,
@@ -105,7 +112,10 @@
         yield chunk
 
   async def resume(self, stream: str) -> AsyncGenerator[bytes, None]:
-    """Yields a stream that was started before, from its first byte."""
+    """Yields the bytes of an earlier call's event stream from its first byte.
+
+    Raises `EngineRefused` when the engine's status is not 200.
+    """
     async with self._session.get(
       f'{self._url}/v1/streams/{stream}', timeout=_get_stream_timeout()
     ) as response:
@@ -115,17 +125,20 @@
         yield chunk
 
   async def get_cache(self) -> list[CachedPrefix]:
-    """Returns what the prefix cache holds, by salt."""
+    """Returns the size of the prefix cache for each salt."""
     data = await self._get('/v1/cache')
     return msgspec.json.decode(data, type=list[CachedPrefix])
 
   async def drop_cache(self, salt: str, *, fencing: int) -> None:
-    """Frees the prefix cache held under a salt."""
+    """Evicts the prefix cache of a salt.
+
+    Raises `stale_epoch` when the engine has seen a higher fencing number.
+    """
     await self._post('/v1/cache/drop', {'salt': salt, 'fencing': fencing})
 
   async def _get(self, path: str) -> bytes:
     reply = await http.send(
-      self._session, 'GET', self._url + path, timeout=ADMIN_TIMEOUT
+      self._session, 'GET', self._url + path, timeout=ADMIN_TIMEOUT_SECONDS
     )
     return reply.body
 
@@ -134,7 +147,7 @@
       self._session,
       'POST',
       self._url + path,
-      timeout=ADMIN_TIMEOUT,
+      timeout=ADMIN_TIMEOUT_SECONDS,
       body=msgspec.json.encode(message),
     )
     if reply.status == 409:
@@ -145,20 +158,22 @@
 
 def _get_stream_timeout() -> aiohttp.ClientTimeout:
   return aiohttp.ClientTimeout(
-    total=None, sock_connect=CONNECT_TIMEOUT, sock_read=READ_TIMEOUT
+    total=None,
+    sock_connect=CONNECT_TIMEOUT_SECONDS,
+    sock_read=READ_TIMEOUT_SECONDS,
   )
 
 
-# --- Reading an answer ------------------------------------------------------
+# --- Decoding a response ----------------------------------------------------
 
 _EVENT_DECODER = msgspec.json.Decoder(Event)
-_DATA = b'data: '
+_DATA_PREFIX = b'data: '
 DONE = b'data: [DONE]'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-  """The whole of an answer, read from its event stream."""
+  """A complete response, decoded from its event stream."""
 
   content: str
   finish_reason: str
@@ -166,14 +181,14 @@
 
 
 def read_answer(stream: bytes) -> Answer:
-  """Returns the message and the usage that an event stream carries."""
+  """Returns the message, finish reason and usage in an event stream."""
   parts: list[str] = []
   finish_reason = ''
   usage: Usage | None = None
   for line in stream.split(b'\n'):
-    if not line.startswith(_DATA) or line.startswith(DONE):
+    if not line.startswith(_DATA_PREFIX) or line.startswith(DONE):
       continue
-    event = _EVENT_DECODER.decode(line[len(_DATA) :])
+    event = _EVENT_DECODER.decode(line[len(_DATA_PREFIX) :])
     usage = event.usage or usage
     for choice in event.choices:
       parts.append(choice.delta.content or '')
--- a/src/woadrun/connection/fresh.py
+++ b/src/woadrun/connection/fresh.py
@@ -1,8 +1,8 @@
-"""New connections in place of kept ones that may have gone silent.
+"""Replacement of pooled connections that stopped responding.
 
-A kept connection may go silent for good, without a reset, while new ones
-work.  The client library keeps connections by host name: another name for the
-same address leaves those of before unused.
+A pooled connection may stop responding for good, without a reset, while new
+connections work.  aiohttp pools connections by host name, so a request under
+another host name for the same address opens a new connection.
 """
 
 from __future__ import annotations
@@ -14,42 +14,47 @@
 import aiohttp
 from aiohttp import abc
 
-# Until what was sent must be acknowledged by the other end's kernel, in
-# milliseconds.  A round trip takes a few; links that lose packets send again
-# after 0.2, 0.4 and 0.8 s.
+# TCP user timeout: the remote kernel must acknowledge sent data within this
+# time.  A round trip takes a few milliseconds; on links that lose packets TCP
+# retransmits after 0.2, 0.4 and 0.8 s.
 ACKNOWLEDGED_MS = 2000
-# A connection at rest, or one that only receives, is looked at after so long,
-# and given up after as many looks without an answer, in seconds.
-PROBE_AFTER_SECONDS = 2
-PROBE_INTERVAL_SECONDS = 1
-PROBES = 2
+# TCP keepalive for connections that are idle or only receive: probes start
+# after the idle time and repeat at the interval; the connection is reset after
+# this number of unanswered probes.
+KEEPALIVE_IDLE_SECONDS = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
 
 
 class Addresses:
-  """Host names that stand for addresses, another one after each silence."""
+  """Maps addresses to host names, so that pooled connections can be abandoned.
+
+  `Resolver` resolves the names.
+  """
 
   def __init__(self) -> None:
-    self._silences_by_address: dict[str, int] = {}
+    self._retirements_by_address: dict[str, int] = {}
 
   def get_host(self, address: str, *, life: str = '') -> str:
-    """Returns the host and port to use for IP:PORT.
+    """Returns the host name and port to use in URLs for IP:PORT.
 
-    Connections of one `life` of what is there are not used for another.
+    `life` identifies the process at the address: connections to one process
+    are not reused for its successor.
     """
-    silences = self._silences_by_address.get(address, 0)
-    if not silences and not life:
+    retirements = self._retirements_by_address.get(address, 0)
+    if not retirements and not life:
       return address
-    key = f'{life} {silences}'.encode()
+    key = f'{life} {retirements}'.encode()
     return f'c{hashlib.blake2b(key, digest_size=8).hexdigest()}.{address}'
 
   def note_silence(self, address: str) -> None:
-    """Leaves the connections kept to an address unused from now on."""
-    silences = self._silences_by_address.get(address, 0)
-    self._silences_by_address[address] = silences + 1
+    """Stops the reuse of all connections to an address opened so far."""
+    retirements = self._retirements_by_address.get(address, 0)
+    self._retirements_by_address[address] = retirements + 1
 
 
 class Resolver(abc.AbstractResolver):
-  """Resolves the names of `Addresses`; nothing is looked up."""
+  """Resolves the host names of `Addresses` without a DNS lookup."""
 
   async def resolve(
     self,
@@ -57,7 +62,7 @@
     port: int = 0,
     family: socket.AddressFamily = socket.AF_INET,
   ) -> list[abc.ResolveResult]:
-    """Returns the address that is in a name."""
+    """Returns the IP address that a host name contains."""
     _, _, ip = host.partition('.')
     return [
       abc.ResolveResult(
@@ -71,14 +76,14 @@
     ]
 
   async def close(self) -> None:
-    """Does nothing: there is nothing to close."""
+    """Does nothing: the resolver holds no resources."""
 
 
 def make_connector(*, limit: int, keepalive: float) -> aiohttp.TCPConnector:
-  """Returns a connector for `Addresses`, whose sockets notice silence.
+  """Returns a connector that resolves the host names of `Addresses`.
 
-  At most `limit` connections are open; one at rest is kept for `keepalive`
-  seconds.
+  Its sockets are those of `make_socket`.  At most `limit` connections are
+  open; an idle connection is closed after `keepalive` seconds.
   """
   return aiohttp.TCPConnector(
     limit=limit,
@@ -90,15 +95,15 @@
 
 
 def make_socket(info: tuple[Any, ...]) -> socket.socket:
-  """Returns a socket that is reset when the other end falls silent."""
+  """Returns a socket that is reset when the remote host stops responding."""
   family, kind, protocol, _, _ = info
-  made = socket.socket(family=family, type=kind, proto=protocol)
+  new_socket = socket.socket(family=family, type=kind, proto=protocol)
   for level, option, value in (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_SECONDS),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGED_MS),
   ):
-    made.setsockopt(level, option, value)
-  return made
+    new_socket.setsockopt(level, option, value)
+  return new_socket
--- a/src/woadrun/connection/http.py
+++ b/src/woadrun/connection/http.py
@@ -1,4 +1,8 @@
-"""HTTP to the platform's services: timeouts and failures become errors."""
+"""HTTP requests to the platform's services.
+
+Timeouts, connection failures and server errors are raised as
+`platform_unavailable`.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-  """A whole answer of an outside system."""
+  """A complete response of an external system."""
 
   status: int
   body: bytes
@@ -23,7 +27,7 @@
 
 
 class OverRate(errors.WoadrunError):
-  """Raised where a service refuses a call for the rate of all callers."""
+  """Raised when a service rejects a request over the rate of all callers."""
 
 
 async def send(
@@ -36,12 +40,13 @@
   headers: dict[str, str] | None = None,
   on_silence: Callable[[], None] = lambda: None,
 ) -> Reply:
-  """Returns the answer to one request.
+  """Sends one request and returns its response.
 
-  `on_silence` is called where none came in time on an open connection.
+  `timeout` is in seconds.  `on_silence` is called when the request times out.
 
-  Raises a platform error when there is no answer in time or the service
-  refuses for load or failure; a write may then have taken effect.
+  Raises `platform_unavailable` when there is no response within the timeout
+  or its status is 429, or 500 and above.  Unless the error's `ran` is `not
+  run`, a write may have taken effect.
   """
   limit = aiohttp.ClientTimeout(total=timeout)
   try:
@@ -55,16 +60,16 @@
   except (TimeoutError, aiohttp.ClientError, OSError) as error:
     if isinstance(error, TimeoutError):
       on_silence()
-    message = f'{url}: {error or "no answer in time"}'
+    message = f'{url}: {error or "no response within the timeout"}'
     raise _unavailable(message, errors.Ran.UNKNOWN) from error
   if response.status == 429:
     raise OverRate(
       errors.Code.PLATFORM_UNAVAILABLE,
-      f'{url}: over its rate',
+      f'{url}: rate limit exceeded',
       retry_after=RETRY_AFTER,
     )
   if response.status >= 500:
-    message = f'{url}: answered {response.status}'
+    message = f'{url}: returned status {response.status}'
     raise _unavailable(message, errors.Ran.UNKNOWN)
   return Reply(status=response.status, body=data, etag=etag)
 
--- a/src/woadrun/connection/messages.py
+++ b/src/woadrun/connection/messages.py
@@ -1,7 +1,8 @@
-"""The messages between daemons.
+"""Messages between daemons about slots, upstreams, limits and the table.
 
-Each is the JSON body of a POST to `/peer/...`; the answer is named beside
-the message.  Records and rosters travel as they are stored.
+Each message is the JSON body of a POST to `/peer/...`; its docstring names the
+answer.  Instead of the answer a peer may return an error.  Records and rosters
+are encoded as they are stored.
 """
 
 from __future__ import annotations
@@ -14,14 +15,15 @@
 
 
 class Done(msgspec.Struct, frozen=True):
-  """The answer of messages that only have to arrive."""
+  """The answer to messages that return nothing."""
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True, kw_only=True):
-  """What the dispatcher of an upstream knows of it.
+  """The load of an upstream, as known to the daemon that keeps its queue.
 
-  `seconds` is the learned time of a call in the upstream; `slots` is how
-  many calls it may run now, less than configured while it is unwell.
+  `running` and `waiting` count calls.  `slots` is the number of calls that the
+  upstream may run now, lower than configured while it fails.  `seconds` is the
+  learned duration of a call in the upstream.
   """
 
   name: str
@@ -32,7 +34,15 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """What a daemon says of itself; the answer is the peer's own."""
+  """Reports the state of a daemon; answered by the peer's own `Heartbeat`.
+
+  `incarnation` identifies the process at the address `sender`.  The versions
+  are those of its domain's roster and of its table.  `leaving` is set during a
+  planned stop.  `suspects` are the members that the sender itself does not
+  hear, `claims` the slots that it serves although the roster does not say so.
+  `loads` covers the upstreams whose queues it keeps.  `leaving_vms` are the
+  addresses of the VMs that the platform is about to remove.
+  """
 
   sender: str
   domain: str
@@ -47,32 +57,42 @@
 
 
 class AskAlive(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks whether the peer hears `address`; answered by `Alive`."""
+  """Asks whether the peer hears the daemon `address`; answered by `Alive`."""
 
   address: str
 
 
 class Alive(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells whether the peer heard a daemon lately, and its own roster."""
+  """Tells whether the peer heard the daemon recently.
+
+  `roster_version` is that of the peer's roster.
+  """
 
   is_heard: bool
   roster_version: int
 
 
 class AskRoster(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks for a domain's roster as the peer knows it."""
+  """Asks for the roster of a failure domain; answered by `RosterAnswer`."""
 
   domain: str
 
 
 class AskEdits(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks for the table after a version; answered by `Edits`."""
+  """Asks for the edits of the table after a version.
+
+  Answered by `Edits`.
+  """
 
   after: int
 
 
 class Edits(msgspec.Struct, frozen=True, kw_only=True):
-  """The edits that follow, or the whole table where some are not kept."""
+  """The edits of the table up to `version`.
+
+  `edits` are those after the version asked for.  If the peer no longer has all
+  of them, `snapshot` holds all rows instead.
+  """
 
   version: int
   edits: list[rows.Edit] = []
@@ -80,10 +100,11 @@
 
 
 class Append(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """One batch of records of a slot, for its standby.
+  """One batch of a slot's records, sent by its owner to its standby.
 
-  `claim` and `claimer` go with the epoch as in `roster.Version`.  The
-  platform has the slot's batches up to `written`.
+  `epoch`, `claim` and `claimer` form the owner's `roster.Version`.  `sequence`
+  numbers the slot's batches.  The platform has stored the batches up to the
+  sequence number `written`.
   """
 
   slot: int
@@ -96,7 +117,7 @@
 
   @property
   def version(self) -> roster.Version:
-    """Returns the version of the slot that wrote the batch."""
+    """Returns the version of the slot under which its owner wrote the batch."""
     return roster.Version(self.epoch, self.claim, self.claimer)
 
 
@@ -108,14 +129,23 @@
 
 
 class Group(msgspec.Struct, frozen=True, kw_only=True):
-  """Batches for the object store, as JSON; answered by `Done` once kept."""
+  """Batches to be written to the object store, as a JSON array.
+
+  Answered by `Done` once they are stored.  `is_hurried` asks the writer not to
+  wait for its full write interval.
+  """
 
   appends: msgspec.Raw
   is_hurried: bool = False
 
 
 class Ack(msgspec.Struct, frozen=True, kw_only=True):
-  """A standby's word on a batch: `ok`, `gap` or `stale`."""
+  """The result of a batch at a standby.
+
+  `verdict` is `ok` if the standby has the batch, `gap` if it lacks an earlier
+  one or has no copy of the slot, and `stale` if it no longer accepts batches of
+  this version.
+  """
 
   slot: int
   sequence: int
@@ -123,18 +153,20 @@
 
 
 class Replicated(msgspec.Struct, frozen=True, kw_only=True):
-  """The standby's word on each batch, in order."""
+  """The result of each batch, in the order of `Replicate`."""
 
   acks: list[Ack]
 
 
 class Sync(msgspec.Struct, frozen=True, kw_only=True):
-  """The whole state of a slot, for a standby to be; answered by `Done`.
-
-  `version` is that at which the sender holds the slot, `tail` the batches
-  within the state that the platform may not have yet.  `copy_id` names one of
-  several copies of the same version, so that a late request to drop it leaves
-  those sent after it.
+  """The whole state of a slot, sent to a daemon that is to be its standby.
+
+  Answered by `Done`, or refused with `stale_epoch`.  `version` is that under
+  which the sender holds the slot; `tail` lists the batches within the state
+  that the platform may not have stored yet.  `copy_id` tells apart several
+  copies of the same version: a delayed request to drop one copy (the same
+  message with an empty state, to `/peer/sync/forget`) leaves later copies in
+  place.
   """
 
   sender: str
@@ -146,16 +178,21 @@
 
 
 class Copies(msgspec.Struct, frozen=True, kw_only=True):
-  """Slots: asks which of them a member has a copy of, and answers so."""
+  """Slot numbers.
+
+  As a request, asks which of these slots a member serves without the roster or
+  has a current copy of; the answer lists those.
+  """
 
   slots: list[int]
 
 
 class Offer(msgspec.Struct, frozen=True, kw_only=True):
-  """Slots, with their versions, that an owner leaves to their standby.
+  """Slots, with their versions, that an owner offers to their standby.
 
-  Sent while the table is out; the answer names those that the standby
-  serves from now on, with its own versions.
+  Sent during a planned stop while the table service is unavailable.  The answer
+  is an `Offer` of the slots that the standby serves from now on, with its own
+  versions.
   """
 
   sender: str
@@ -163,10 +200,11 @@
 
 
 class Handover(msgspec.Struct, frozen=True, kw_only=True):
-  """Calls that the sender will finish although it gives their slot away.
+  """Calls that the sender will finish although it gives their slots away.
 
-  Only the process of this incarnation can: one that starts anew at the
-  same address knows nothing of them.
+  Each of `requests` is slot, program and request; answered by `Done`.  Only the
+  process `incarnation` can finish them: a restarted process at the same address
+  does not know them.
   """
 
   sender: str
@@ -175,9 +213,10 @@
 
 
 class Requests(msgspec.Struct, frozen=True, kw_only=True):
-  """Calls, as program and request.
+  """Calls, each as program and request.
 
-  Asks a giver which of them it still executes, and answers so.
+  As a request, asks the sender of a `Handover` which of these calls it still
+  executes; the answer lists those.
   """
 
   requests: list[tuple[str, str]]
@@ -194,18 +233,20 @@
 
 
 class Recorded(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells whether the call has the outcome that was sent, or another one."""
+  """Tells whether the call has the outcome sent, rather than another one."""
 
   has_outcome: bool = True
 
 
 class Acquire(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks for a permit to use an upstream; answered by `Granted`.
-
-  `holder` names one process, not only its address: the permits of one
-  that died go back although another runs at the same address.
-  `attained` is the service in seconds that the whole program has had,
-  `cost` the seconds that the call is expected to take.
+  """Asks for a permit for one call to an upstream; answered by `Granted`.
+
+  Refused with `overloaded` when the wait is longer than `patience` seconds or
+  expected to be.  `holder` names a process, not only its address: the permits
+  of a process that died are released although another process runs at the same
+  address.  `row` is the table row of the call and `weight` that row's weight in
+  fair queueing.  `attained` is the service that the whole program has received
+  and `cost` the expected duration of the call, both in seconds.
   """
 
   holder: str
@@ -219,13 +260,17 @@
 
 
 class Granted(msgspec.Struct, frozen=True, kw_only=True):
-  """A permit was given."""
+  """Confirms that a permit was granted."""
 
   permit: str
 
 
 class Release(msgspec.Struct, frozen=True, kw_only=True):
-  """Gives a permit back with what became of the call."""
+  """Returns a permit and reports the outcome of its call.
+
+  `seconds` is the duration of the call, 0 to report no outcome; `is_ok` tells
+  whether the call succeeded.
+  """
 
   permit: str
   upstream: str
@@ -234,24 +279,29 @@
 
 
 class Releases(msgspec.Struct, frozen=True, kw_only=True):
-  """Gives several permits back."""
+  """Returns several permits; answered by `Done`."""
 
   releases: list[Release]
 
 
 class Hold(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells a dispatcher all permits that the sender holds, by upstream."""
+  """Reports all permits that the sender holds, by upstream.
+
+  Answered by `Done`.  The receiver, which keeps the queues of these upstreams,
+  releases the permits of `holder` that are not listed.
+  """
 
   holder: str
   held: dict[str, list[str]]
 
 
 class Borrow(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks the keeper of a row's limits for places and calls.
+  """Asks the keeper of a row's limits for concurrent places and for calls.
 
-  `in_use` counts the places that the holder has, `is_more` tells whether
-  it needs another one; answered by `Lent`.  `number` rises with each message
-  of the holder about the row: it tells which one has its newer state.
+  Answered by `Lent`, or refused with `limit_reached`.  `in_use` counts the
+  places that the holder has; `is_more` asks for another one.  `number`
+  increases with each message of the holder about the row and so identifies the
+  newest state.
   """
 
   holder: str
@@ -262,16 +312,21 @@
 
 
 class Lent(msgspec.Struct, frozen=True, kw_only=True):
-  """The places that the holder has now, and how many more calls."""
+  """Grants places and calls to the holder.
+
+  `places` is the number of places that the holder now has in total, `calls`
+  the number of further calls that it may start.
+  """
 
   places: int
   calls: int
 
 
 class Holds(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells the keeper how many places the holder keeps of each row.
+  """Reports how many places the holder keeps of each row; answered by `Done`.
 
-  `number` is as in `Borrow`.  No answer to a lower one is waited for.
+  `number` is as in `Borrow`.  The holder no longer waits for answers to
+  messages with lower numbers.
   """
 
   holder: str
@@ -280,15 +335,21 @@
 
 
 class Programs(msgspec.Struct, frozen=True, kw_only=True):
-  """Programs by id: asks which are gone, and answers which of them are."""
+  """Program ids.
+
+  As a request, asks the owner of their slots which of these programs no longer
+  exist; the answer lists those.
+  """
 
   programs: list[str]
 
 
 class RosterAnswer(msgspec.Struct, frozen=True, kw_only=True):
-  """A domain's roster, or none where the peer does not know it.
+  """A domain's roster, None if the peer does not know it.
 
-  `claims` are the slots that daemons serve without the table's word.
+  Also sent as an announcement of a new roster, which is answered by `Done`.
+  `claims` are the slots of the domain that daemons serve although the roster
+  does not say so.
   """
 
   claims: dict[int, roster.Version] = {}
--- a/src/woadrun/connection/objects.py
+++ b/src/woadrun/connection/objects.py
@@ -1,4 +1,4 @@
-"""The adapter of the platform's object store: whole objects by key."""
+"""A client of the platform's object store, which keeps whole objects by key."""
 
 from __future__ import annotations
 
@@ -9,12 +9,17 @@
 
 from woadrun.connection import http
 
-# Writes of whole groups and checkpoints may take longer than a row's.
+# Writing a group of records or a checkpoint may take longer than writing a
+# row, so requests get this multiple of the platform timeout.
 TIMEOUT_FACTOR = 4
 
 
 class ObjectStore:
-  """A client of one object store."""
+  """A client of one object store.
+
+  `timeout` is the platform timeout in seconds.  `writes` and `written_bytes`
+  count the objects put and their bytes.
+  """
 
   def __init__(
     self, *, session: aiohttp.ClientSession, url: str, timeout: float
@@ -26,22 +31,22 @@
     self.written_bytes = 0
 
   async def put(self, key: str, value: bytes) -> None:
-    """Stores an object; storing the same again is harmless."""
+    """Stores an object; the operation is idempotent."""
     self.writes += 1
     self.written_bytes += len(value)
     await self._send('PUT', f'/objects/{key}', value)
 
   async def get(self, key: str) -> bytes | None:
-    """Returns an object, or None where there is none."""
+    """Returns an object, or None if it does not exist."""
     reply = await self._send('GET', f'/objects/{key}')
     return None if reply.status == 404 else reply.body
 
   async def delete(self, key: str) -> None:
-    """Removes an object, if it is there."""
+    """Deletes an object if it exists."""
     await self._send('DELETE', f'/objects/{key}')
 
   async def list_keys(self, prefix: str) -> list[str]:
-    """Returns all keys that start with `prefix`, in order."""
+    """Returns all keys that start with `prefix`, in ascending order."""
     query = urllib.parse.urlencode({'prefix': prefix})
     reply = await self._send('GET', f'/objects?{query}')
     return msgspec.json.decode(reply.body, type=list[str])
--- a/src/woadrun/connection/peers.py
+++ b/src/woadrun/connection/peers.py
@@ -1,4 +1,8 @@
-"""Messages between daemons: HTTP under a shared key, as JSON if not told."""
+"""A client for messages between daemons.
+
+Messages are sent over HTTP, authenticated by a shared key and encoded as JSON
+unless another codec is given.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +19,9 @@
 
 T = TypeVar('T')
 
-# A daemon that is there takes a connection within a round trip; one that is
-# dark or cut off never does.  In seconds.
-CONNECT_SECONDS = 0.5
+# A running daemon accepts a connection within a round trip; a daemon that is
+# down or unreachable never does.
+CONNECT_TIMEOUT_SECONDS = 0.5
 
 
 class Messenger(Protocol):
@@ -32,23 +36,24 @@
     type: type[T],
     timeout: float,
   ) -> T:
-    """Returns a peer's answer to one message, as `Peers.post` does."""
+    """Sends a message and returns the peer's answer, as `Peers.post` does."""
 
   def note_silence(self, address: str) -> None:
-    """Uses new connections to a peer from now on."""
+    """Uses new connections to a peer for all further messages."""
 
 
 class NoAnswer(errors.WoadrunError):
-  """Raised where a peer gave no answer, not even a refusal."""
+  """Raised when a peer sent no response, not even an error."""
 
 
 class Peers:
   """A client of all other daemons.
 
-  `codec` encodes messages and decodes answers; both sides use the same.
-  `addresses` has new connections made after a silence; the session must then
-  resolve its names.
-  Errors come as JSON in any case.
+  `codec` encodes messages and decodes answers, and must be the peers' codec;
+  errors are encoded as JSON with any codec.  With `addresses`, `note_silence`
+  replaces the connections to a peer; the session's resolver must then be
+  `fresh.Resolver`.  `messages`, `sent_bytes` and `received_bytes` count the
+  traffic.
   """
 
   def __init__(
@@ -76,10 +81,11 @@
     type: type[T],
     timeout: float,
   ) -> T:
-    """Returns a peer's answer to one message.
+    """Sends a message and returns the peer's answer.
 
-    Raises the peer's own error, or `NoAnswer` where there is none; what the
-    message asked for may then have been done.
+    `timeout` is in seconds.  Raises the error that the peer returned, or
+    `NoAnswer` without a response; the peer may then have processed the
+    message.
     """
     host = self._addresses.get_host(address) if self._addresses else address
     body = self.encode(message)
@@ -91,7 +97,7 @@
         data=body,
         headers=self.headers,
         timeout=aiohttp.ClientTimeout(
-          total=timeout, sock_connect=min(timeout, CONNECT_SECONDS)
+          total=timeout, sock_connect=min(timeout, CONNECT_TIMEOUT_SECONDS)
         ),
       ) as response:
         data = await response.read()
@@ -100,7 +106,7 @@
         self.note_silence(address)
       raise NoAnswer(
         errors.Code.OWNER_UNAVAILABLE,
-        f'{address} gave no answer ({error.__class__.__name__}).',
+        f'{address} did not respond ({error.__class__.__name__}).',
         ran=errors.Ran.UNKNOWN,
         retry_after=1.0,
       ) from error
@@ -108,18 +114,18 @@
     return self.decode(response.status, data, type)
 
   def note_silence(self, address: str) -> None:
-    """Uses new connections to a peer from now on, if any are known to do."""
+    """Uses new connections to a peer, if `addresses` was given."""
     if self._addresses is not None:
       self._addresses.note_silence(address)
 
   def encode(self, message: Any) -> bytes:
-    """Returns a message as it is sent."""
+    """Returns the encoded form of a message."""
     body: bytes = self._codec.encode(message)
     return body
 
   def decode(self, status: int, data: bytes, type: type[T]) -> T:
-    """Returns what a peer answered; raises the error that it answered."""
+    """Returns the answer; raises the peer's error if `status` is not 200."""
     if status != 200:
       raise errors.from_body(data)
-    found: T = self._codec.decode(data, type=type)
-    return found
+    answer: T = self._codec.decode(data, type=type)
+    return answer
--- a/src/woadrun/connection/quota_messages.py
+++ b/src/woadrun/connection/quota_messages.py
@@ -1,7 +1,7 @@
-"""Messages between daemons about the rates of teams.
+"""Messages between daemons about the rate limits of teams.
 
-Each is the body of a POST to `/peer/...`, as msgpack; the answer is named
-beside the message.
+Each message is the msgpack body of a POST to `/peer/...`; its docstring names
+the answer.
 """
 
 from __future__ import annotations
@@ -10,13 +10,15 @@
 
 
 class TakeUnit(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """Asks the keeper of a team's rate for one request; answered by `Unit`.
-
-  `version` is that of the routing table with `per_second` and `burst`.  The
-  request belongs to `program`, if to any, and with `begins` may begin it;
-  `kind` names its route and `priority` is that of the route.  With `is_alone`
-  the keeper of all domains cannot be reached, and the receiver has its own
-  domain's share.
+  """Asks the keeper of a team's rate limit to admit one request.
+
+  Answered by `Unit`, or refused with `not_owner` by a daemon that does not keep
+  the rate.  `version` is the version of the routing table that sets
+  `per_second` and `burst`, in requests.  `program` is the program of the
+  request, empty if there is none; with `begins` the request may be its first
+  one.  `kind` is the name of the request's route and `priority` the priority of
+  that route.  `is_alone` is set when the keeper for all domains is unreachable:
+  the receiver then admits requests from its own domain's share of the rate.
   """
 
   team: str
@@ -31,9 +33,10 @@
 
 
 class Unit(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-  """Whether the request may be sent, after `wait`, else when to ask again.
+  """Tells whether the request is admitted.
 
-  Both are in seconds.
+  An admitted request may be sent after `wait` seconds; a refused one may be
+  retried after `retry_after` seconds.
   """
 
   is_granted: bool
--- a/src/woadrun/connection/rows.py
+++ b/src/woadrun/connection/rows.py
@@ -1,8 +1,8 @@
-"""A transactional row store as the daemon sees it: types and interface.
+"""Types and interface of a transactional row store.
 
-Rows lie in tables; the rows of one part of a table can be changed together.
-Each transaction raises one counter, from which the rows it writes take
-their version.
+The rows of a table are divided into parts; rows of the same part can be changed
+in one transaction.  Each transaction increments one counter of the store, whose
+value becomes the version of the rows written.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Key(NamedTuple):
-  """Where a row lies."""
+  """The key of a row: its table, the part of the table, and its name."""
 
   table: str
   part: str
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Row:
-  """A row, or the trace of one that was removed.
+  """A row, or the tombstone of a deleted one.
 
-  `version` is 0 for a row that does not exist.  `is_packed` says that the value
-  is compressed.
+  `version` is 0 for a row that does not exist.  `is_removed` marks a tombstone,
+  `is_packed` a compressed value.
   """
 
   key: Key
@@ -38,10 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Page:
-  """Rows as of one moment, in the order of their names.
+  """Rows, or changes of rows, as of one version of the store.
 
-  `clock` is the store's steady clock as it answered, in seconds, None where
-  it tells none.
+  Rows that `RowStore.read` returns are in the order of their names.  `version`
+  is the version of the store.  `is_cut` tells that more rows follow.  `clock`
+  is the store's monotonic clock at the time of its answer, in seconds, None if
+  the store does not report it.
   """
 
   rows: tuple[Row, ...]
@@ -52,11 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-  """What became of a transaction.
+  """The result of a transaction.
 
-  When a condition failed, nothing was changed, `is_done` is false and
-  `rows` holds the rows of the conditions as they are.  `clock` is that of
-  the store, as in a page.
+  If a condition failed, nothing was changed, `is_done` is false and `rows`
+  holds the current rows of the conditions.  `clock` is as in `Page`.
   """
 
   is_done: bool
@@ -66,14 +67,15 @@
 
 
 class HistoryGone(Exception):
-  """Raised when the changes asked for are no longer kept."""
+  """Raised when the store no longer has the changes after a version."""
 
 
 class RowStore(Protocol):
-  """The calls of a row store.
+  """A client of a row store.
 
-  All raise `platform_unavailable` where there is no answer in time or the
-  store refuses; `ran` then tells whether a write may have been done.
+  All methods raise `platform_unavailable` when the store does not answer in
+  time or rejects the request; the error's `ran` tells whether a write may have
+  been applied.
   """
 
   async def change(
@@ -83,16 +85,23 @@
     removes: Sequence[Key] = (),
     conditions: Sequence[tuple[Key, int]] = (),
   ) -> Outcome:
-    """Returns what became of an all-or-nothing change of one part."""
+    """Applies writes and deletions to one part atomically.
+
+    They are applied only if each row of `conditions` has the given version;
+    version 0 means that the row does not exist.  Returns the result.
+    """
 
   async def read(
     self, table: str, part: str, *, first: str = '', end: str = ''
   ) -> Page:
-    """Returns the rows with names from `first` up to, without, `end`."""
+    """Returns the rows of a part with names from `first` up to `end`.
+
+    `end` is excluded; if it is empty there is no upper bound.
+    """
 
   async def follow(self, table: str, *, after: int, wait: float) -> Page:
-    """Returns the changes after a version, as soon as there are any.
+    """Returns the changes of a table after version `after`.
 
-    Raises `HistoryGone` where they are no longer kept; `wait` is in
-    seconds.
+    If there are none yet, waits for the first one for at most `wait` seconds.
+    Raises `HistoryGone` when the store no longer has the changes.
     """
--- a/src/woadrun/connection/service.py
+++ b/src/woadrun/connection/service.py
@@ -1,4 +1,4 @@
-"""The adapter of a plain service, whose calls may not be repeatable."""
+"""A client of a plain service, whose actions may not be idempotent."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from woadrun import errors
 from woadrun.connection import http
 
-CONNECT_TIMEOUT = 1.0
-ASK_TIMEOUT = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+OUTCOME_TIMEOUT_SECONDS = 2.0
 
 
 class Service:
@@ -21,12 +21,14 @@
   async def call(
     self, action: str, body: bytes, *, request: str, timeout: float
   ) -> http.Reply:
-    """Returns the service's answer to one call.
+    """Calls an action and returns the service's response.
 
-    Raises an error that says "not run" only where no connection came
-    about, so that no byte of the call can have reached the service.
+    Raises an error whose `ran` is `not run` only when no connection was
+    established, so no byte of the call can have reached the service.
     """
-    limit = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_TIMEOUT)
+    limit = aiohttp.ClientTimeout(
+      total=timeout, sock_connect=CONNECT_TIMEOUT_SECONDS
+    )
     headers = {'Idempotency-Key': request, 'Content-Type': 'application/json'}
     try:
       async with self._session.post(
@@ -46,18 +48,21 @@
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
       raise errors.WoadrunError(
         errors.Code.OUTCOME_UNKNOWN,
-        f'The service gave no whole answer ({type(error).__name__}).',
+        f'The service sent no complete response ({type(error).__name__}).',
         ran=errors.Ran.UNKNOWN,
       ) from error
 
   async def ask(self, request: str) -> http.Reply | None:
-    """Returns the stored answer to an earlier call, if the service has it."""
+    """Returns the stored response to an earlier call.
+
+    Returns None if the service has none or does not respond.
+    """
     try:
       reply = await http.send(
         self._session,
         'GET',
         f'{self._url}/outcomes/{request}',
-        timeout=ASK_TIMEOUT,
+        timeout=OUTCOME_TIMEOUT_SECONDS,
       )
     except errors.WoadrunError:
       return None
--- a/src/woadrun/connection/table.py
+++ b/src/woadrun/connection/table.py
@@ -1,6 +1,6 @@
-"""The adapter of the platform's table service.
+"""A client of the platform's table service.
 
-Rows are resources with entity tags; a compare-and-swap is a conditional
+Rows are HTTP resources with entity tags; a compare-and-swap is a conditional
 PUT (RFC 9110, section 13).
 """
 
@@ -17,39 +17,42 @@
 from woadrun import errors
 from woadrun.connection import http
 
-ATTEMPTS = 3
+MAX_WRITE_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoredRow:
-  """A row's value and the entity tag that a write has to name."""
+  """A row's value and its entity tag, which a conditional write names."""
 
   value: bytes
   etag: str
 
 
 class ListedRow(msgspec.Struct, frozen=True):
-  """A row of a listing; the value is the JSON text that was stored."""
+  """A row in a listing; `value` is the stored JSON text."""
 
   key: str
   value: str
 
 
-class Written(msgspec.Struct, frozen=True):
-  """The part of each value that names the write that stored it."""
+class WriteMarker(msgspec.Struct, frozen=True):
+  """The field of each value that identifies the write that stored it."""
 
   write_id: str = ''
 
 
 class Conflict(Exception):
-  """Raised when a row is not as the writer expected it."""
+  """Raised when a row does not have the expected entity tag."""
 
 
 T = TypeVar('T', bound=msgspec.Struct)
 
 
 class Table:
-  """A client of one table service."""
+  """A client of one table service.
+
+  `timeout` is in seconds.  `reads` and `writes` count the requests sent.
+  """
 
   def __init__(
     self, *, session: aiohttp.ClientSession, url: str, timeout: float
@@ -61,7 +64,7 @@
     self.writes = 0
 
   async def read(self, table: str, key: str) -> StoredRow | None:
-    """Returns a row, or None where there is none."""
+    """Returns a row, or None if it does not exist."""
     self.reads += 1
     reply = await http.send(
       self._session, 'GET', self._get_url(table, key), timeout=self._timeout
@@ -73,7 +76,7 @@
   async def list_after(
     self, table: str, after: str, *, limit: int = 200
   ) -> list[ListedRow]:
-    """Returns up to `limit` rows whose keys follow `after`, in order."""
+    """Returns up to `limit` rows with keys above `after`, in key order."""
     self.reads += 1
     url = f'{self._url}/tables/{table}/rows?after={after}&limit={limit}'
     reply = await http.send(self._session, 'GET', url, timeout=self._timeout)
@@ -84,13 +87,16 @@
   ) -> None:
     """Stores a row if it still has `etag` (None: if it does not exist).
 
-    An answer that is lost is settled here: the same write, under the
-    same id, is read back and tried again.  HTTP clients may themselves
-    send a PUT twice, so a conflict is read back too.  Raises Conflict when
-    another write came first, and a platform error when that can't be told.
+    After a lost response the row is read back and, unless it has the id of
+    this write, the write is retried with the same id.  The row is read back
+    after a conflict too, since HTTP clients may send a PUT twice.
+
+    Raises `Conflict` when another write came first, and
+    `platform_unavailable` when the service is unavailable or the outcome
+    remains unknown.
     """
-    write_id = msgspec.json.decode(value, type=Written).write_id
-    for attempt in range(ATTEMPTS):
+    write_id = msgspec.json.decode(value, type=WriteMarker).write_id
+    for attempt in range(MAX_WRITE_ATTEMPTS):
       try:
         await self._put(table, key, value, etag)
         return
@@ -99,7 +105,7 @@
           return
         raise
       except errors.WoadrunError as error:
-        if error.ran is errors.Ran.NOT_RUN or attempt == ATTEMPTS - 1:
+        if error.ran is errors.Ran.NOT_RUN or attempt == MAX_WRITE_ATTEMPTS - 1:
           raise
         if await self._is_stored(table, key, write_id):
           return
@@ -113,11 +119,11 @@
     type: type[T],
     empty: T,
   ) -> T:
-    """Returns a row's value after `change`, stored by compare-and-swap.
+    """Changes a row by compare-and-swap and returns its value.
 
-    `change` gets the value as it is (`empty` for a new row) and returns
-    the new one, or None to leave it.  It is called again after a
-    conflict.
+    `change` is called with the current value (`empty` for a new row) and
+    returns the new one, or None to leave the row unchanged.  It is called
+    again after a conflict.
     """
     while True:
       row = await self.read(table, key)
@@ -156,4 +162,4 @@
     row = await self.read(table, key)
     if row is None:
       return False
-    return msgspec.json.decode(row.value, type=Written).write_id == write_id
+    return msgspec.json.decode(row.value, type=WriteMarker).write_id == write_id
--- a/src/woadrun/connection/turn_messages.py
+++ b/src/woadrun/connection/turn_messages.py
@@ -1,7 +1,7 @@
 """Messages between daemons about turns of programs and the row store.
 
-Each is the body of a POST to `/peer/...`, as msgpack; the answer is named
-beside the message.
+Each message is the msgpack body of a POST to `/peer/...`; its docstring names
+the answer.
 """
 
 from __future__ import annotations
@@ -10,12 +10,13 @@
 
 
 class Turn(msgspec.Struct, frozen=True, kw_only=True):
-  """One finished turn, as it is kept and as it travels.
+  """One finished turn, as stored and as sent between daemons.
 
-  `line` names the turns before it, oldest first; `output` is the data of
-  each event and a line feed after it; `tokens` is what the caller was
-  given; `instance` ran it.  `ended_at` is in seconds of the time of day,
-  `retention` in seconds.
+  `line` lists the ids of the preceding turns, oldest first.  `input` is the
+  turn's input; `output` is the data of each event, each followed by a line
+  feed.  `tokens` is the number of tokens sent to the caller, `instance` the
+  instance that ran the turn.  `ended_at` is Unix time in seconds; the turn may
+  be deleted `retention` seconds later.
   """
 
   request: str
@@ -30,22 +31,25 @@
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
-  """A part of a prompt, which other prompts may share, with its tokens."""
+  """A part of a prompt, possibly shared by other prompts, and its tokens."""
 
   id: str
   tokens: int
 
 
 class OpenTurn(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks for leave to run a turn; answered by `OpenedTurn`.
-
-  `most` is what the turn may generate, `budget` what all turns of the
-  program may, both in tokens.  With `is_away` the program's own domain
-  cannot be reached.  With `is_brief` the asker has the history already.
-  Without `keeps_history` the turn names none before it: any of them may be
-  the first of its program, or a later one.  Without `begins` a program that
-  nobody knows is not begun there.  `parts` are those of its prompt,
-  in order.
+  """Asks the owner of a program to admit a turn and reserve its tokens.
+
+  Answered by `OpenedTurn`.  `parent` is the preceding turn, empty for none.
+  `most` is the maximum number of tokens that the turn may generate and `budget`
+  that of all turns of the program, None for no limit.  `parts` are the parts of
+  the turn's prompt, in order.
+
+  `is_away` is set when the program's home domain is unreachable: the receiver,
+  a member of another domain, then admits the turn itself.  `is_brief` is set
+  when the sender already has the history, which the answer then omits.  Without `keeps_history`
+  the turn has no parent although it need not be the first of its program.
+  Without `begins` the receiver does not create a program that is not known.
   """
 
   program: str
@@ -61,11 +65,13 @@
 
 
 class OpenedTurn(msgspec.Struct, frozen=True, kw_only=True):
-  """The turns before, oldest first.
+  """Admits a turn, or names the domain that can.
 
-  With `home` only that domain can give leave; the turns are there as well
-  where `has_history` says so.  `cached_by_instance` tells how much of the
-  prompt instances should still hold, in tokens.
+  `line` lists the ids of the preceding turns, oldest first; `history` is their
+  input and output, and `instance` ran the last of them.  If `home` is set, the
+  turn was not admitted, only a daemon of that domain can admit it, and the
+  history is present only with `has_history`.  `cached_by_instance` estimates
+  how many tokens of the prompt each instance still has cached.
   """
 
   line: tuple[str, ...] = ()
@@ -77,12 +83,13 @@
 
 
 class CloseTurn(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells how a turn ended; answered by `Closed`.
+  """Reports the end of a turn to the owner of its program.
 
-  `tokens` is what the caller was given.  `turn` is there when the answer
-  is whole and belongs to a history; `is_saved` says that the row store has
-  it.  With `is_away` the program's own domain cannot be reached, nor can the
-  store.  `instance` ran it and holds `parts`, its prompt with what it made.
+  Answered by `Closed`.  `tokens` is the number of tokens sent to the caller.
+  `turn` is set if the turn is complete and part of a history; `is_saved` tells
+  whether the row store has it.  `is_away` is set when both the program's home
+  domain and the store are unreachable.  `instance` ran the turn and has `parts`
+  cached, the parts of its prompt and of its output.
   """
 
   program: str
@@ -96,16 +103,21 @@
 
 
 class Closed(msgspec.Struct, frozen=True):
-  """The answer of messages that only have to arrive."""
+  """The answer to messages that return nothing."""
 
 
 class LedgerCopy(msgspec.Struct, frozen=True, kw_only=True):
-  """A program's budget as its owner sees it, and what is not stored yet.
-
-  Answered by `KnownProgram`.  `saved_*` and `version` are what the row store
-  had at last, `given` what turns were given since, in tokens by request.
-  `is_behind` says that the store lacks something that no stored turn tells,
-  `offline_known` is what other domains know to be spent while the store is out.
+  """A program's budget as its owner knows it, with what is not stored yet.
+
+  Answered by `KnownProgram`.  `given` has the tokens of ended turns that the
+  row in the store does not count yet, `reserved` those reserved for running
+  turns, both by request.  `saved_settled`, `saved_reserved`, `saved_recent` and
+  `version` are the content and version of the row when it was last read or
+  written.  `is_behind` tells that the store lacks changes that do not follow
+  from stored turns.  `is_split` tells that the program may have begun in
+  another domain as well.  `offline_known` is the number of tokens that other
+  domains know to be spent while the store is unavailable, None if undetermined.
+  `unsaved` lists the requests of `turns` that the store lacks.
   """
 
   program: str
@@ -124,10 +136,11 @@
 
 
 class AskProgram(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks what a member has of a program that the store lacks.
+  """Asks a member for what it knows of a program and the store lacks.
 
-  Answered by `KnownProgram`.  With `is_far` the asker is of the program's home,
-  and wants back what that told another domain.
+  Answered by `KnownProgram`.  With `is_far` the sender belongs to the program's
+  home domain and asks a member of another domain to return the last copy that
+  it received from the home domain.
   """
 
   program: str
@@ -135,14 +148,15 @@
 
 
 class KnownProgram(msgspec.Struct, frozen=True, kw_only=True):
-  """The copy of a program, where the member has what the asker may lack."""
+  """The member's copy of a program, None if it has nothing to add."""
 
   copy: LedgerCopy | None = None
 
 
 class AskStored(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks a member for turns that it is the first to bring to the store.
+  """Asks which turns a member has stored or is about to store.
 
+  The member is the first of those responsible for storing these turns.
   Answered by `StoredTurns`.
   """
 
@@ -150,9 +164,9 @@
 
 
 class StoredTurns(msgspec.Struct, frozen=True, kw_only=True):
-  """Turns that the store has, and those that this member will bring there.
+  """The turns that the store has and those that this member will store.
 
-  Those that are in neither the member does not know.
+  The member does not know the turns that are in neither of the two.
   """
 
   stored: tuple[str, ...] = ()
@@ -160,7 +174,7 @@
 
 
 class StoreRow(msgspec.Struct, frozen=True, kw_only=True):
-  """A row, as peers hand it on; compressed with `is_packed`."""
+  """A row as sent between daemons; with `is_packed` its value is compressed."""
 
   table: str
   part: str
@@ -172,9 +186,10 @@
 
 
 class StoreChange(msgspec.Struct, frozen=True, kw_only=True):
-  """A transaction for a peer that the store turns away.
+  """A transaction to be relayed for a peer that cannot reach the store.
 
-  Answered by `StorePage`; `conditions` have the version wanted.
+  Answered by `StorePage`.  `conditions` have the versions that the rows must
+  have.
   """
 
   writes: tuple[StoreRow, ...] = ()
@@ -183,7 +198,11 @@
 
 
 class StoreRead(msgspec.Struct, frozen=True, kw_only=True):
-  """A range of rows for such a peer; answered by `StorePage`."""
+  """A read of a range of rows to be relayed to the store.
+
+  Answered by `StorePage`.  The range starts at the name `first` and excludes
+  `end`.
+  """
 
   table: str
   part: str
@@ -192,7 +211,10 @@
 
 
 class StoreFollow(msgspec.Struct, frozen=True, kw_only=True):
-  """Changes for such a peer; answered by `StorePage`."""
+  """A read of a table's changes after a version to be relayed to the store.
+
+  Answered by `StorePage`, after at most `wait` seconds if there are no changes.
+  """
 
   table: str
   after: int
@@ -200,9 +222,11 @@
 
 
 class StorePage(msgspec.Struct, frozen=True, kw_only=True):
-  """What the store answered: rows, and whether a change was done.
+  """The store's answer to a relayed request.
 
-  `clock` is that of the store, in seconds.
+  `is_done` tells whether a transaction was applied, `is_cut` that more rows
+  follow, and `is_history_gone` that the store no longer has the changes asked
+  for.  `clock` is the store's clock in seconds, None if unknown.
   """
 
   rows: tuple[StoreRow, ...] = ()
@@ -216,7 +240,8 @@
 class AskFeed(msgspec.Struct, frozen=True, kw_only=True):
   """Asks for the changes of a table; answered by `FeedCopy`.
 
-  `after` is the version up to which they are known, None for none.
+  `after` is the version up to which the sender has the table, None if it has
+  nothing.
   """
 
   table: str
@@ -224,13 +249,14 @@
 
 
 class FeedCopy(msgspec.Struct, frozen=True, kw_only=True):
-  """Changes of a table up to a version, which is None where none is known.
-
-  With `is_list` these are all rows.  `regained` tells how long ago contact
-  with the store was regained, in seconds, `is_lost` that there is none now.
-  `confirmed` is the reading of the store's clock up to which no newer change
-  was there, `clock` bounds that clock as the answer is made; both are in
-  seconds and None where nothing is known.
+  """The changes of a table up to `version`, None if the peer has no rows.
+
+  With `is_list`, `rows` are all rows of the table.  `regained` is the number of
+  seconds since the peer regained contact with the store, None if it never lost
+  it; `is_lost` tells that it has no contact now.  `confirmed` is the time on
+  the store's clock at which the peer's table was known to be current.  `clock`
+  gives the lower and upper bound of the store's clock at the time of the
+  answer.  Both are in seconds, and None if unknown.
   """
 
   rows: tuple[StoreRow, ...] = ()
--- a/src/woadrun/connection/vms.py
+++ b/src/woadrun/connection/vms.py
@@ -1,4 +1,7 @@
-"""The adapter of the platform's list of VMs, which lags behind."""
+"""A client of the platform's list of VMs.
+
+The list is updated with a delay.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class Vm(msgspec.Struct, frozen=True, kw_only=True):
-  """A VM of the list: its address, failure domain and state."""
+  """A VM in the list: its address, failure domain and state."""
 
   address: str
   domain: str
@@ -21,7 +24,11 @@
 async def read(
   session: aiohttp.ClientSession, url: str, *, timeout: float
 ) -> list[Vm]:
-  """Returns the VMs that the platform lists."""
+  """Returns the VMs that the platform lists.
+
+  `timeout` is in seconds.  Raises `platform_unavailable` when the request
+  fails.
+  """
   reply = await http.send(
     session, 'GET', f'{url.rstrip("/")}/vms', timeout=timeout
   )
--- a/src/woadrun/errors.py
+++ b/src/woadrun/errors.py
@@ -1,7 +1,7 @@
-"""Errors with codes, and what each says about the request it refuses.
+"""Errors with codes, as returned to callers and peers.
 
-Every error that leaves a daemon is one of these.  A caller reads three
-things from it: the code, whether the request ran, and when to come back.
+Every error response of a daemon is one of these.  It tells the caller the
+code, whether the request ran, and when to retry.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Ran(enum.StrEnum):
-  """Whether the refused request may have had an effect."""
+  """Whether a failed request may have had an effect."""
 
   NOT_RUN = 'not run'
   RAN = 'ran'
@@ -22,7 +22,7 @@
 
 
 class Code(enum.StrEnum):
-  """The codes of all errors; the reference of errors is made from them."""
+  """The codes of all errors, from which the error reference is generated."""
 
   BAD_JSON = 'bad_json'
   BAD_REQUEST = 'bad_request'
@@ -59,7 +59,7 @@
   INTERNAL = 'internal'
 
 
-# The HTTP status of each code; codes that are not here answer 500.
+# The HTTP status of each code; codes not listed have status 500.
 STATUS_BY_CODE = {
   Code.BAD_JSON: 400,
   Code.BAD_REQUEST: 400,
@@ -97,7 +97,7 @@
 
 
 class ErrorBody(msgspec.Struct, kw_only=True):
-  """The JSON form of an error, as a caller or a peer reads it."""
+  """The JSON form of an error; `retry_after` is in seconds."""
 
   code: str
   message: str
@@ -108,16 +108,17 @@
 
 
 class ErrorAnswer(msgspec.Struct, kw_only=True):
-  """The envelope of an error body."""
+  """The JSON object around an error body."""
 
   error: ErrorBody
 
 
 class WoadrunError(Exception):
-  """The base of all errors; it carries the answer that the caller gets.
+  """The base class of all errors; holds the content of the error response.
 
-  Args of the constructor: the code; a short sentence; the place in the
-  input; whether the request ran; seconds until a retry makes sense.
+  The constructor takes the code, a short sentence, the place in the input
+  that is invalid, whether the request ran, the seconds until a retry makes
+  sense, and further details that can be encoded as JSON.
   """
 
   def __init__(
@@ -140,11 +141,11 @@
 
   @property
   def status(self) -> int:
-    """Returns the HTTP status of the error."""
+    """Returns the HTTP status code for the error."""
     return STATUS_BY_CODE.get(self.code, 500)
 
   def get_body(self) -> bytes:
-    """Returns the JSON answer that stands for the error."""
+    """Returns the JSON body of the error response."""
     body = ErrorBody(
       code=self.code.value,
       message=self.message,
@@ -157,7 +158,10 @@
 
 
 def from_body(data: bytes) -> WoadrunError:
-  """Returns the error that a peer's or an upstream's JSON answer holds."""
+  """Returns the error decoded from the JSON response of a peer or upstream.
+
+  Returns an `internal` error that quotes the response if it is not valid.
+  """
   try:
     body = msgspec.json.decode(data, type=ErrorAnswer).error
     return WoadrunError(
@@ -171,13 +175,13 @@
   except (msgspec.MsgspecError, ValueError):
     text = data[:200].decode('utf-8', 'replace')
     return WoadrunError(
-      Code.INTERNAL, f'unreadable error: {text}', ran=Ran.UNKNOWN
+      Code.INTERNAL, f'invalid error response: {text}', ran=Ran.UNKNOWN
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finding:
-  """One fault in a file: where it stands and what is wrong."""
+  """One error in a checked file: its location and its reason."""
 
   file: str
   key: str
@@ -188,7 +192,7 @@
 
 
 class FindingsError(ValueError):
-  """Raised with all findings of a checked file at once."""
+  """Raised with all findings of a checked file."""
 
   def __init__(self, findings: list[Finding]) -> None:
     super().__init__('\n'.join(str(finding) for finding in findings))
--- a/src/woadrun/settings.py
+++ b/src/woadrun/settings.py
@@ -1,7 +1,6 @@
-"""Settings of one process, read from TOML and checked as a whole.
+"""Settings of one process, read from TOML and validated as a whole.
 
-Everyday use is `load(path)`: it returns checked settings or raises one
-error with all findings.
+`load(path)` returns validated settings or raises one error with all findings.
 """
 
 from __future__ import annotations
@@ -207,11 +206,11 @@
   services: list[Service] = pydantic.Field([], description='plain services')
 
   @pydantic.model_validator(mode='after')
-  def _check_whole(self) -> Settings:
+  def _check_consistency(self) -> Settings:
     names = [item.name for item in (*self.engines, *self.services)]
-    doubled = sorted({name for name in names if names.count(name) > 1})
-    if doubled:
-      raise ValueError(f'upstreams share a name: {", ".join(doubled)}')
+    duplicates = sorted({name for name in names if names.count(name) > 1})
+    if duplicates:
+      raise ValueError(f'upstreams share a name: {", ".join(duplicates)}')
     if self.daemon.domain not in self.daemon.region_domains:
       raise ValueError('daemon.domain is not among daemon.region_domains')
     return self
@@ -221,7 +220,10 @@
 
 
 def check(data: dict[str, Any], *, file: str) -> Settings:
-  """Returns the settings in `data`, or raises all findings together."""
+  """Returns the settings in `data`; raises `FindingsError` if invalid.
+
+  `file` is the file name used in the findings.
+  """
   try:
     return Settings.model_validate(data)
   except pydantic.ValidationError as error:
@@ -231,7 +233,7 @@
 def get_findings(
   error: pydantic.ValidationError, *, file: str
 ) -> list[errors.Finding]:
-  """Returns a finding for each fault in a validation error."""
+  """Returns a finding for each error in a validation error."""
   return [
     errors.Finding(
       file=file,
@@ -243,7 +245,10 @@
 
 
 def load(path: str | pathlib.Path) -> Settings:
-  """Returns the checked settings of a TOML file."""
+  """Returns the validated settings of a TOML file.
+
+  Raises `FindingsError` if the file cannot be read or is invalid.
+  """
   file = str(path)
   try:
     with open(path, 'rb') as stream:
