--- a/src/woadrun/connection/turn_messages.py
+++ b/src/woadrun/connection/turn_messages.py
@@ -47,9 +47,10 @@
 
   `is_away` is set when the program's home domain is unreachable: the receiver,
   a member of another domain, then admits the turn itself.  `is_brief` is set
-  when the sender already has the history, which the answer then omits.  Without `keeps_history`
-  the turn has no parent although it need not be the first of its program.
-  Without `begins` the receiver does not create a program that is not known.
+  when the sender already has the history, which the answer then omits.  Without
+  `keeps_history` the turn has no parent although it need not be the first of
+  its program.  Without `begins` the receiver does not create a program that is
+  not known.
   """
 
   program: str
