--- a/src/woadrun/cli/__init__.py
+++ b/src/woadrun/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The `woadrun` command-line interface."""
--- a/src/woadrun/cli/app.py
+++ b/src/woadrun/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: its root, its exit codes and how errors are shown."""
+"""Entry point of the command line, its exit codes and error output."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 app = cyclopts.App(
   name='woadrun',
   help='A scheduler for agent programs.\n\n'
-  'Exit codes: 0 done, 1 refused or failed, 2 wrong settings or usage, '
-  '3 no daemon reached, 130 interrupted.',
+  'Exit codes: 0 success, 1 request refused or failed, 2 invalid settings or '
+  'usage, 3 no daemon reachable, 130 interrupted.',
   version=woadrun.__version__,
 )
 app.command(serve.serve)
@@ -52,17 +52,20 @@
 
 
 def main() -> None:
-  """Runs the command line and exits with its code."""
+  """Runs the command in `sys.argv` and exits with its exit code."""
   sys.exit(run(sys.argv[1:]))
 
 
 def run(arguments: list[str]) -> int:
-  """Returns the exit code of one command."""
+  """Runs one command and returns its exit code.
+
+  Errors of the command are printed to the standard error stream.
+  """
   try:
     result = app(arguments, exit_on_error=False, result_action='return_value')
     return result if isinstance(result, int) else Exit.OK
   except cyclopts.CycloptsError:
-    # cyclopts has told it already.
+    # cyclopts has already printed the error.
     return Exit.USAGE
   except errors.FindingsError as error:
     print(error, file=sys.stderr)
@@ -71,7 +74,10 @@
     _print_error(error)
     return Exit.REFUSED
   except (aiohttp.ClientError, TimeoutError, OSError) as error:
-    print(f'No answer: {error or type(error).__name__}', file=sys.stderr)
+    print(
+      f'No answer from the daemon: {error or type(error).__name__}',
+      file=sys.stderr,
+    )
     return Exit.UNREACHABLE
   except KeyboardInterrupt:
     return Exit.INTERRUPTED
--- a/src/woadrun/cli/demo.py
+++ b/src/woadrun/cli/demo.py
@@ -1,4 +1,4 @@
-"""`woadrun demo`: the main job, with all that it needs in one process."""
+"""`woadrun demo`: a complete deployment in one process."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from woadrun.process import logs
 from woadrun.standins import local
 
-TEAMS = {'riders': 4.0, 'crews': 2.0, 'reconciliation': 1.0}
-TURNS = 3
-START_SECONDS = 30.0
-BUDGET = 20_000
+WEIGHT_BY_TEAM = {'riders': 4.0, 'crews': 2.0, 'reconciliation': 1.0}
+TURNS_PER_PROGRAM = 3
+START_TIMEOUT_SECONDS = 30.0
+PROGRAM_BUDGET_TOKENS = 20_000
 
 
 def demo(*, daemons: int = 3, programs: int = 30, json: bool = False) -> None:
-  """Serves programs of three teams and prints how long they took.
+  """Runs programs of three teams and prints how long they took.
 
   Everything runs in this process, on loopback: stand-ins for the
-  platform, two engines and a service, and several daemons.
+  platform, for two engines and for a service, and several daemons.
 
   Parameters
   ----------
   daemons
-    How many daemons serve.
+    Number of daemons.
   programs
-    How many programs each team runs.
+    Number of programs that each team runs.
   json
     Print JSON instead of a table.
   """
@@ -63,97 +63,114 @@
   )
 
 
-async def _run(daemons: int, programs: int) -> dict[str, list[float]]:
+async def _run(daemon_count: int, programs: int) -> dict[str, list[float]]:
   outside = await local.start_outside()
-  addresses = [f'127.0.0.1:{local.get_free_port()}' for _ in range(daemons)]
+  addresses = [
+    f'127.0.0.1:{local.get_free_port()}' for _ in range(daemon_count)
+  ]
   async with aiohttp.ClientSession() as session:
     await local.set_vms(session, outside, dict.fromkeys(addresses, 'north'))
-    running = [
+    started_daemons = [
       daemon.Daemon(
         config=local.check(local.make_settings(outside, address=address))
       )
       for address in addresses
     ]
     try:
-      for part in running:
-        await part.start()
-      await _wait_ready(running)
-      await _edit_table(session, running)
-      return await _serve(session, addresses, programs)
+      for service in started_daemons:
+        await service.start()
+      await _wait_ready(started_daemons)
+      await _add_teams(session, started_daemons)
+      return await _run_programs(session, addresses, programs)
     finally:
-      for part in running:
-        await part.stop()
+      for service in started_daemons:
+        await service.stop()
       await outside.stop()
 
 
-async def _wait_ready(running: list[daemon.Daemon]) -> None:
-  deadline = time.monotonic() + START_SECONDS
-  while not all(part.held.holding_by_slot for part in running):
+async def _wait_ready(started_daemons: list[daemon.Daemon]) -> None:
+  deadline = time.monotonic() + START_TIMEOUT_SECONDS
+  while not all(service.held.holding_by_slot for service in started_daemons):
     if time.monotonic() > deadline:
       raise errors.WoadrunError(
-        errors.Code.INTERNAL, 'The daemons did not share the slots in time.'
+        errors.Code.INTERNAL,
+        f'Some daemons own no slots after {START_TIMEOUT_SECONDS:.0f} s.',
       )
     await asyncio.sleep(0.05)
-  _note(f'{len(running)} daemons are ready.')
+  _print_progress(f'{len(started_daemons)} daemons are ready.')
 
 
-async def _edit_table(
-  session: aiohttp.ClientSession, running: list[daemon.Daemon]
+async def _add_teams(
+  session: aiohttp.ClientSession, started_daemons: list[daemon.Daemon]
 ) -> None:
-  addresses = [part.config.daemon.address for part in running]
+  addresses = [service.config.daemon.address for service in started_daemons]
   editor = client.Client(
     session=session, addresses=addresses, token=local.OPERATOR_TOKEN
   )
   changes = [
     {'key': team, 'before': None, 'after': {'key': team, 'weight': weight}}
-    for team, weight in TEAMS.items()
+    for team, weight in WEIGHT_BY_TEAM.items()
   ]
   edit = await editor.ask('POST', '/operate/table', {'changes': changes})
-  deadline = time.monotonic() + START_SECONDS
-  while any(part.table.version < edit['version'] for part in running):
+  deadline = time.monotonic() + START_TIMEOUT_SECONDS
+  while any(
+    service.table.version < edit['version'] for service in started_daemons
+  ):
     if time.monotonic() > deadline:
       raise errors.WoadrunError(
-        errors.Code.INTERNAL, 'The table was not in force in time.'
+        errors.Code.INTERNAL,
+        f'Some daemons do not apply table version {edit["version"]} '
+        f'after {START_TIMEOUT_SECONDS:.0f} s.',
       )
     await asyncio.sleep(0.05)
 
 
-async def _serve(
+async def _run_programs(
   session: aiohttp.ClientSession, addresses: list[str], programs: int
 ) -> dict[str, list[float]]:
   caller = client.Client(
     session=session, addresses=addresses, token=local.CALLER_TOKEN
   )
-  seconds_by_team: dict[str, list[float]] = {team: [] for team in TEAMS}
+  seconds_by_team: dict[str, list[float]] = {
+    team: [] for team in WEIGHT_BY_TEAM
+  }
   tasks = [
-    asyncio.ensure_future(_serve_one(caller, team, seconds_by_team[team]))
+    asyncio.ensure_future(_run_program(caller, team, seconds_by_team[team]))
     for _ in range(programs)
-    for team in TEAMS
+    for team in WEIGHT_BY_TEAM
   ]
   for done, task in enumerate(asyncio.as_completed(tasks), start=1):
     await task
     if done % 10 == 0 or done == len(tasks):
-      _note(f'{done} of {len(tasks)} programs are done.')
+      _print_progress(f'{done} of {len(tasks)} programs have finished.')
   return seconds_by_team
 
 
-async def _serve_one(
+async def _run_program(
   caller: client.Client, team: str, seconds: list[float]
 ) -> None:
-  """Runs one program: turns, a tool pause, an action and a sub-agent."""
+  """Runs one program and appends its duration to `seconds`.
+
+  The program has model turns with a pause after each one, one call of a
+  service, and a sub-agent with one turn.
+  """
   started = time.monotonic()
-  found = await caller.start(team, BUDGET)
-  name = found['id']
-  for turn in range(TURNS):
-    await caller.say(name, f'{team} asks {turn}', model=local.MODEL)
+  program = await caller.start(team, PROGRAM_BUDGET_TOKENS)
+  program_id = program['id']
+  for turn in range(TURNS_PER_PROGRAM):
+    await caller.say(program_id, f'{team} asks {turn}', model=local.MODEL)
     await asyncio.sleep(0.02)
-  await caller.act(name, 'service-0/dispatch', {'to': secrets.token_hex(2)})
-  helper = await caller.start(team, BUDGET // 4, parent=name)
-  await caller.say(helper['id'], 'look it up', model=local.MODEL)
-  await caller.ask('POST', f'/v1/programs/{helper["id"]}/end')
-  await caller.ask('POST', f'/v1/programs/{name}/end')
+  await caller.act(
+    program_id, 'service-0/dispatch', {'to': secrets.token_hex(2)}
+  )
+  sub_agent = await caller.start(
+    team, PROGRAM_BUDGET_TOKENS // 4, parent=program_id
+  )
+  await caller.say(sub_agent['id'], 'look it up', model=local.MODEL)
+  await caller.ask('POST', f'/v1/programs/{sub_agent["id"]}/end')
+  await caller.ask('POST', f'/v1/programs/{program_id}/end')
   seconds.append(time.monotonic() - started)
 
 
-def _note(text: str) -> None:
+def _print_progress(text: str) -> None:
   print(text, file=sys.stderr)
--- a/src/woadrun/cli/experiment.py
+++ b/src/woadrun/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`woadrun experiment`: policies against workloads on the model."""
+"""`woadrun experiment`: simulates policies under given workloads."""
 
 from __future__ import annotations
 
@@ -21,28 +21,31 @@
   seeds: int = 0,
   json: bool = False,
 ) -> None:
-  """Compares policies on a model of the engines and prints one table.
+  """Compares scheduling policies in simulation and prints one table.
 
   Parameters
   ----------
   file
     Site, workload, scenarios and policies in TOML; see examples/.
   scenario
-    Only these scenarios.
+    Run only these scenarios.
   policy
-    Only these policies.
+    Run only these policies.
   seeds
-    How many runs of each; 0 for the file's own number.
+    Number of runs of each scenario and policy, each with its own random
+    seed; 0 uses the number in the file.
   json
     Print JSON lines instead of a table.
   """
-  found = workload.load(file)
-  wanted = [s for s in found.scenarios if not scenario or s.name in scenario]
-  chosen = found.model_copy(
+  loaded = workload.load(file)
+  scenarios = [
+    s for s in loaded.scenarios if not scenario or s.name in scenario
+  ]
+  chosen = loaded.model_copy(
     update={
-      'scenarios': wanted,
-      'policies': policy or found.policies,
-      'seeds': seeds or found.seeds,
+      'scenarios': scenarios,
+      'policies': policy or loaded.policies,
+      'seeds': seeds or loaded.seeds,
     }
   )
   lines: list[report.Line] = []
@@ -50,7 +53,10 @@
     if json:
       print(msgspec.json.encode(dataclasses.asdict(line)).decode())
     elif sys.stderr.isatty():
-      print(f'{line.scenario}: {line.policy} is done.', file=sys.stderr)
+      print(
+        f'Scenario {line.scenario}, policy {line.policy}: finished.',
+        file=sys.stderr,
+      )
     lines.append(line)
   if not json:
     operator.print_columns(
--- a/src/woadrun/cli/explain.py
+++ b/src/woadrun/cli/explain.py
@@ -1,4 +1,4 @@
-"""`woadrun explain`: what the logs of all daemons say of one request."""
+"""`woadrun explain`: one request's events from the logs of all daemons."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 import msgspec
 
-# Lines of the same daemon that tell what it believed are shown from so long
-# before the request's first line, in seconds.
-BEFORE_SECONDS = 3.0
-# Parts whose lines tell what a daemon believes, not what it did.
-BELIEFS = frozenset(
+# Lines of `STATE_LOGGERS` are included from this long before the first line
+# that names the request.
+STATE_LEAD_SECONDS = 3.0
+# Loggers whose lines record what a daemon knows of the state of the store, its
+# peers, routes and instances, rather than what the daemon did.
+STATE_LOGGERS = frozenset(
   f'woadrun.{name}'
   for name in (
     'store',
@@ -25,7 +26,7 @@
     'logs',
   )
 )
-_REQUEST = re.compile(r'\b[0-9a-f]{16}\b')
+_REQUEST_ID = re.compile(r'\b[0-9a-f]{16}\b')
 
 
 class _Line(msgspec.Struct, kw_only=True):
@@ -40,10 +41,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Event:
-  """One line of a log; `at` is in seconds of a day, `daemon` wrote it.
+  """One log line.
 
-  `request`, `program`, `line` and `kind` are there where it tells of one
-  request: its id, its program, the line of turns in it, the route's kind.
+  `at` is the time of day in seconds, `daemon` the name of the daemon that
+  wrote the line, `part` the name of the logger.  `request`, `program`,
+  `line` and `kind` are set for lines about one request: the request's id,
+  the program's id, the line of turns within the program, and the kind of
+  the route.
   """
 
   at: float
@@ -57,19 +61,20 @@
 
 
 def explain(request: str, /, *logs: pathlib.Path) -> int:
-  """Prints what happened to a request, and what its daemons believed.
+  """Prints the log lines about one request and the state its daemons knew.
 
-  Shown are the lines that name the request, those that name the turns that
-  they name, and what the same daemons learned of the store, peers, routes
-  and instances shortly before and meanwhile.
+  Prints the lines that name the request, the lines that name any other id
+  in those lines (such as earlier turns), and the lines in which the same
+  daemons recorded the state of the store, peers, routes and instances, from
+  shortly before the request's first line to its last one.
 
   Parameters
   ----------
   request
-    The id of the request.
+    Id of the request.
   logs
-    The logs of all daemons: one file each, or lines that begin with the
-    daemon's name.
+    Logs of all daemons: one file for each daemon, or files whose lines
+    begin with the daemon's name.
   """
   events = sorted(
     (event for path in logs for event in read(path)), key=lambda e: e.at
@@ -78,12 +83,16 @@
   for event in found:
     print(f'{event.at:10.3f} {event.daemon:22} {event.message}')
   if not found:
-    print(f'No line names {request}.')
+    print(f'No log line names request {request}.')
   return 0 if found else 1
 
 
 def read(path: pathlib.Path) -> Iterator[Event]:
-  """Yields the events of a log; other lines are passed over."""
+  """Yields the events of a log file, skipping lines that are not JSON.
+
+  The word before the JSON object is the daemon's name; the name of the
+  file is used where there is none.
+  """
   with open(path, encoding='utf-8', errors='replace') as stream:
     for text in stream:
       before, brace, rest = text.partition('{')
@@ -107,19 +116,23 @@
 
 
 def find(request: str, events: list[Event]) -> list[Event]:
-  """Returns the events that tell what happened to a request, in order."""
+  """Returns the events that concern a request, in the order of `events`.
+
+  `events` are sorted by time.  The list is empty where no event names the
+  request.
+  """
   direct = [event for event in events if request in event.message]
   if not direct:
     return []
-  ids = {id for event in direct for id in _REQUEST.findall(event.message)}
+  ids = {id for event in direct for id in _REQUEST_ID.findall(event.message)}
   daemons = {event.daemon for event in direct}
-  first, last = direct[0].at - BEFORE_SECONDS, direct[-1].at
+  first, last = direct[0].at - STATE_LEAD_SECONDS, direct[-1].at
   return [
     event
     for event in events
     if any(id in event.message for id in ids)
     or (
-      event.part in BELIEFS
+      event.part in STATE_LOGGERS
       and event.daemon in daemons
       and first <= event.at <= last
     )
--- a/src/woadrun/cli/look.py
+++ b/src/woadrun/cli/look.py
@@ -1,4 +1,4 @@
-"""`woadrun dump` and `woadrun top`: looking into running daemons."""
+"""`woadrun dump` and `woadrun top`: the state of running daemons."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 
 from woadrun.cli import operator
 
-CLEAR = '\x1b[2J\x1b[H'
+CLEAR_SCREEN = '\x1b[2J\x1b[H'
 
 
 def dump(*, access: operator.Access) -> None:
-  """Prints the whole state of one daemon as JSON, by role."""
-  found = operator.ask(access, lambda c: c.ask('GET', '/operate/dump'))
+  """Prints the whole state of one daemon as JSON, grouped by role."""
+  found = operator.run_with_client(
+    access, lambda c: c.ask('GET', '/operate/dump')
+  )
   data = msgspec.json.encode(found)
   print(data.decode() if access.json else msgspec.json.format(data).decode())
 
@@ -26,23 +28,23 @@
   every: float = 2.0,
   rounds: int = 0,
 ) -> None:
-  """Shows upstreams and daemons, again and again.
+  """Prints the load of daemons and upstreams repeatedly.
 
   Parameters
   ----------
   others
     Addresses of further daemons.
   every
-    Seconds between two looks.
+    Seconds between two updates.
   rounds
-    How many looks; 0 goes on until interrupted.
+    Number of updates; 0 repeats until interrupted.
   """
   addresses = [access.address, *others]
   count = 0
   while True:
-    dumps = {address: _read(access, address) for address in addresses}
+    dumps = {address: _fetch_dump(access, address) for address in addresses}
     if sys.stdout.isatty():
-      print(CLEAR, end='')
+      print(CLEAR_SCREEN, end='')
     _print_daemons(dumps)
     _print_upstreams(dumps)
     count += 1
@@ -51,10 +53,12 @@
     time.sleep(every)
 
 
-def _read(access: operator.Access, address: str) -> Any:
-  at = operator.Access(address=address, token=access.token)
+def _fetch_dump(access: operator.Access, address: str) -> Any:
+  daemon_access = operator.Access(address=address, token=access.token)
   try:
-    return operator.ask(at, lambda c: c.ask('GET', '/operate/dump'))
+    return operator.run_with_client(
+      daemon_access, lambda c: c.ask('GET', '/operate/dump')
+    )
   except OSError:
     return None
 
--- a/src/woadrun/cli/operator.py
+++ b/src/woadrun/cli/operator.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: where to ask, and as whom."""
+"""Daemon access and output shared by the operators' commands."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 
 T = TypeVar('T')
 
-# An operator wants to know soon; retries go on for this long.
-PATIENCE_SECONDS = 5.0
+# A failed request is retried for this long: an operator at a terminal waits
+# for the result.
+RETRY_TIMEOUT_SECONDS = 5.0
 
 
 @cyclopts.Parameter(name='*')
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Access:
-  """Where to ask, and as whom.
+  """Address and credentials of the daemon to connect to.
 
   Parameters
   ----------
   address
-    Address of any daemon, like 10.0.0.1:8000.
+    Address of any daemon, for example 10.0.0.1:8000.
   token
     Bearer token of an operator.
   json
@@ -40,24 +41,26 @@
   json: bool = False
 
 
-def ask(access: Access, question: Callable[[client.Client], Awaitable[T]]) -> T:
-  """Returns what one exchange with a daemon brings."""
+def run_with_client(
+  access: Access, operation: Callable[[client.Client], Awaitable[T]]
+) -> T:
+  """Runs an operation with a client of a daemon and returns its result."""
 
   async def run() -> T:
     async with aiohttp.ClientSession() as session:
-      operator = client.Client(
+      daemon_client = client.Client(
         session=session,
         addresses=[access.address],
         token=access.token,
-        patience=PATIENCE_SECONDS,
+        patience=RETRY_TIMEOUT_SECONDS,
       )
-      return await question(operator)
+      return await operation(daemon_client)
 
   return asyncio.run(run())
 
 
 def print_columns(rows: list[list[object]]) -> None:
-  """Prints rows of cells in columns; the first row is the heading."""
+  """Prints rows of cells in aligned columns; the first row is the heading."""
   cells = [[str(cell) for cell in row] for row in rows]
   widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
   for row in cells:
--- a/src/woadrun/cli/serve.py
+++ b/src/woadrun/cli/serve.py
@@ -1,4 +1,4 @@
-"""`woadrun serve` and `woadrun config`: the daemon and its settings."""
+"""`woadrun serve` and `woadrun config`: runs a daemon, checks settings."""
 
 from __future__ import annotations
 
@@ -13,19 +13,23 @@
 from woadrun.process import daemon
 from woadrun.process import logs
 
-config = cyclopts.App(name='config', help='Look at settings without serving.')
+config = cyclopts.App(
+  name='config', help='Check settings without running a daemon.'
+)
 
 
 def serve(*, config: pathlib.Path) -> None:
-  """Runs the daemon until it is told to stop.
+  """Runs the daemon until it receives a signal to stop.
 
-  SIGTERM and SIGINT stop it as planned: its slots are given away and its
-  requests are finished first.  A second signal stops it at once.
+  SIGTERM and SIGINT shut the daemon down gracefully: it transfers its slots
+  to other daemons and finishes its requests.  A second signal stops it
+  immediately.
 
   Parameters
   ----------
   config
-    Settings in TOML, for example: woadrun serve --config north-1.toml
+    TOML file with the settings, for example: woadrun serve --config
+    north-1.toml
   """
   checked = settings.load(config)
   logs.configure(checked.logs, address=checked.daemon.address)
@@ -36,16 +40,16 @@
   service = daemon.Daemon(config=checked)
   await service.start()
   loop = asyncio.get_running_loop()
-  leaving: list[asyncio.Task[None]] = []
+  leave_tasks: list[asyncio.Task[None]] = []
 
   def stop() -> None:
-    if leaving:
+    if leave_tasks:
       service.stopped.set()
     else:
-      leaving.append(asyncio.ensure_future(service.leave()))
+      leave_tasks.append(asyncio.ensure_future(service.leave()))
 
-  for number in (signal.SIGTERM, signal.SIGINT):
-    loop.add_signal_handler(number, stop)
+  for signal_number in (signal.SIGTERM, signal.SIGINT):
+    loop.add_signal_handler(signal_number, stop)
   await service.stopped.wait()
   with contextlib.suppress(asyncio.TimeoutError):
     await asyncio.wait_for(service.stop(), 10)
@@ -53,16 +57,16 @@
 
 @config.command
 def check(file: pathlib.Path) -> None:
-  """Checks settings and prints all findings.
+  """Validates settings and prints all errors found.
 
   Parameters
   ----------
   file
-    Settings in TOML.
+    TOML file with the settings.
   """
   checked = settings.load(file)
   upstreams = len(checked.engines) + len(checked.services)
   print(
-    f'{file}: good; daemon {checked.daemon.address} '
+    f'{file}: valid; daemon {checked.daemon.address} '
     f'in {checked.daemon.domain}, {upstreams} upstreams'
   )
--- a/src/woadrun/cli/stand_in.py
+++ b/src/woadrun/cli/stand_in.py
@@ -1,4 +1,4 @@
-"""`woadrun stand-in`: the outside systems' stand-ins as processes."""
+"""`woadrun stand-in`: runs a stand-in for an external system."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from woadrun.standins import service as service_stand_in
 
 stand_in = cyclopts.App(
-  name='stand-in', help='Run a stand-in for an outside system (for tests).'
+  name='stand-in', help='Run a stand-in for an external system (for tests).'
 )
 
 
 @stand_in.command
 def platform(*, host: str = '127.0.0.1', port: int = 0) -> None:
-  """Runs table service, object store, weight store and list of VMs."""
+  """Runs the platform: row tables, objects, model weights, list of VMs."""
   _run(platform_stand_in.Platform(), host, port)
 
 
@@ -30,14 +30,14 @@
   seconds: float = 0.002,
   forgets: bool = False,
 ) -> None:
-  """Runs a plain service that counts its calls.
+  """Runs a service that counts how often it ran each request.
 
   Parameters
   ----------
   seconds
-    Time that each call takes.
+    Duration of each call, in seconds.
   forgets
-    It cannot be asked what became of a request.
+    Report no outcome of an earlier request when asked for it.
   """
   _run(service_stand_in.Service(seconds=seconds, forgets=forgets), host, port)
 
@@ -52,32 +52,33 @@
   token_seconds: float = 0.0005,
   checks_fencing: bool = True,
 ) -> None:
-  """Runs a model engine.
+  """Runs a simulated model engine.
 
   Parameters
   ----------
   slots
-    Calls that it batches.
+    Number of calls that the engine runs at a time.
   cache_tokens
-    Tokens that its prefix cache holds.
+    Capacity of the prefix cache, in tokens.
   token_seconds
-    Time that each token takes.
+    Time to generate one token, in seconds.
   checks_fencing
-    Whether it refuses orders with an old fencing number.
+    Whether the engine refuses orders and cache drops with an outdated
+    fencing number.
   """
-  part = engine_stand_in.Engine(
+  server = engine_stand_in.Engine(
     slots=slots,
     cache_tokens=cache_tokens,
     token_seconds=token_seconds,
     checks_fencing=checks_fencing,
   )
-  _run(part, host, port)
+  _run(server, host, port)
 
 
-def _run(part: base.StandIn, host: str, port: int) -> None:
+def _run(server: base.StandIn, host: str, port: int) -> None:
   async def serve() -> None:
-    # The caller may have asked for any free port: tell which one it is.
-    print(await part.start(host, port), flush=True)
+    # Print the URL: with port 0 the operating system chooses the port.
+    print(await server.start(host, port), flush=True)
     await asyncio.Event().wait()
 
   asyncio.run(serve())
--- a/src/woadrun/cli/table.py
+++ b/src/woadrun/cli/table.py
@@ -1,4 +1,4 @@
-"""`woadrun table`: the operators' table."""
+"""`woadrun table`: shows and edits the operators' table of teams."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @table.command
 def show(*, access: operator.Access) -> None:
-  """Prints the table in force as CSV, which a spreadsheet opens."""
-  found = operator.ask(access, lambda c: c.ask('GET', PATH))
+  """Prints the current table as CSV, for use in a spreadsheet."""
+  response = operator.run_with_client(access, lambda c: c.ask('GET', PATH))
   if access.json:
-    print(msgspec.json.encode(found).decode())
+    print(msgspec.json.encode(response).decode())
     return
-  print(rows.to_csv(_get_rows(found)), end='')
+  print(rows.to_csv(_parse_rows(response)), end='')
 
 
 @table.command
@@ -40,11 +40,13 @@
   key
     Team, or team/kind.
   """
-  found = operator.ask(access, lambda c: c.ask('GET', PATH))
-  row = _get_rows(found).get(key)
+  response = operator.run_with_client(access, lambda c: c.ask('GET', PATH))
+  row = _parse_rows(response).get(key)
   if row is None:
     raise errors.WoadrunError(
-      errors.Code.UNKNOWN_TEAM, f'The table has no row {key}.', place='key'
+      errors.Code.UNKNOWN_TEAM,
+      f'The table has no row with the key {key}.',
+      place='key',
     )
   if access.json:
     print(row.model_dump_json())
@@ -56,7 +58,7 @@
 
 @table.command(name='set')
 def set_(key: str, *values: str, access: operator.Access) -> None:
-  """Changes columns of one row, or adds it.
+  """Sets columns of one row; adds the row if it does not exist.
 
   Parameters
   ----------
@@ -65,15 +67,15 @@
   values
     Columns as name=value, for example: weight=4 concurrency=20
   """
-  wanted = dict(_split(value) for value in values)
+  new_columns = dict(_split_assignment(value) for value in values)
 
   async def change(c: client.Client) -> Any:
-    old = _get_rows(await c.ask('GET', PATH))
+    old = _parse_rows(await c.ask('GET', PATH))
     before = old[key].model_dump() if key in old else {}
-    new = _check_row({**before, 'key': key, **wanted})
+    new = _check_row({**before, 'key': key, **new_columns})
     return await _submit(c, old, {**old, key: new})
 
-  _report(access, operator.ask(access, change))
+  _print_result(access, operator.run_with_client(access, change))
 
 
 @table.command
@@ -87,10 +89,10 @@
   """
 
   async def change(c: client.Client) -> Any:
-    old = _get_rows(await c.ask('GET', PATH))
+    old = _parse_rows(await c.ask('GET', PATH))
     return await _submit(c, old, {k: r for k, r in old.items() if k != key})
 
-  _report(access, operator.ask(access, change))
+  _print_result(access, operator.run_with_client(access, change))
 
 
 @table.command
@@ -100,32 +102,37 @@
   access: operator.Access,
   base: pathlib.Path | None = None,
 ) -> None:
-  """Makes the table equal to a CSV file.
+  """Replaces the table by the contents of a CSV file.
 
   Parameters
   ----------
   file
-    The whole table as it should be.
+    CSV file with the whole new table.
   base
-    The table as you read it (`table show`).  With it, rows that somebody
-    else changed since then are told instead of overwritten.
+    CSV file with the table that the edit started from (`table show`).
+    With it, the edit is refused if another edit changed the same rows
+    since then; without it, such a change is overwritten.
   """
   new = rows.from_csv(file.read_text(), file=str(file))
-  read = rows.from_csv(base.read_text(), file=str(base)) if base else None
+  base_rows = rows.from_csv(base.read_text(), file=str(base)) if base else None
 
   async def change(c: client.Client) -> Any:
-    old = _get_rows(await c.ask('GET', PATH)) if read is None else read
+    old = (
+      _parse_rows(await c.ask('GET', PATH)) if base_rows is None else base_rows
+    )
     return await _submit(c, old, new)
 
-  _report(access, operator.ask(access, change))
+  _print_result(access, operator.run_with_client(access, change))
 
 
 @table.command
 def history(*, access: operator.Access) -> None:
-  """Prints the last edits: version, time, author and rows."""
-  found = operator.ask(access, lambda c: c.ask('GET', f'{PATH}/history'))
+  """Prints the latest edits: version, time, author and changed rows."""
+  response = operator.run_with_client(
+    access, lambda c: c.ask('GET', f'{PATH}/history')
+  )
   if access.json:
-    print(msgspec.json.encode(found).decode())
+    print(msgspec.json.encode(response).decode())
     return
   lines = [
     [
@@ -134,17 +141,19 @@
       edit['author'],
       ' '.join(change['key'] for change in edit['changes']),
     ]
-    for edit in found
+    for edit in response
   ]
   operator.print_columns([['version', 'time', 'author', 'rows'], *lines])
 
 
 @table.command
 def status(*, access: operator.Access) -> None:
-  """Prints which version is in force at each daemon."""
-  found = operator.ask(access, lambda c: c.ask('GET', f'{PATH}/status'))
+  """Prints which version of the table each daemon applies."""
+  response = operator.run_with_client(
+    access, lambda c: c.ask('GET', f'{PATH}/status')
+  )
   if access.json:
-    print(msgspec.json.encode(found).decode())
+    print(msgspec.json.encode(response).decode())
     return
   lines = [
     [
@@ -152,7 +161,7 @@
       v['domain'],
       'no answer' if v['version'] is None else v['version'],
     ]
-    for v in found
+    for v in response
   ]
   operator.print_columns([['daemon', 'domain', 'version'], *lines])
 
@@ -160,16 +169,16 @@
 # --- Helpers ----------------------------------------------------------------
 
 
-def _get_rows(found: Any) -> dict[str, rows.Row]:
-  parsed = [rows.Row.model_validate(data) for data in found['rows']]
+def _parse_rows(response: Any) -> dict[str, rows.Row]:
+  parsed = [rows.Row.model_validate(data) for data in response['rows']]
   return {row.key: row for row in parsed}
 
 
-def _split(value: str) -> tuple[str, str]:
+def _split_assignment(value: str) -> tuple[str, str]:
   name, separator, text = value.partition('=')
   if not separator:
     finding = errors.Finding(
-      file='(command line)', key=value, reason='write column=value'
+      file='(command line)', key=value, reason='expected column=value'
     )
     raise errors.FindingsError([finding])
   return name, text
@@ -192,10 +201,10 @@
   return await c.ask('POST', PATH, {'changes': changes})
 
 
-def _report(access: operator.Access, result: Any) -> None:
+def _print_result(access: operator.Access, result: Any) -> None:
   if access.json:
     print(msgspec.json.encode(result).decode())
   elif result is None:
-    print('Nothing to change.')
+    print('The table already has these values.')
   else:
     print(f'Version {result["version"]} is accepted.')
--- a/src/woadrun/cli/timeline.py
+++ b/src/woadrun/cli/timeline.py
@@ -1,4 +1,4 @@
-"""`woadrun timeline`: one program's requests, drawn from its daemons' logs."""
+"""`woadrun timeline`: a chart of one program's requests from the logs."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 
 from woadrun.cli import explain
 
-# Signs that the whole program takes in the picture.
-WIDTH = 60
-_END = re.compile(r'^Request \w+: (.*) after (\d+) ms(.*)\.$', re.DOTALL)
-_SENT = re.compile(r'^Request \w+ at (\S+) \((\S+),.*\): (.*)\.$', re.DOTALL)
+# Width of the column of bars; it spans all requests of the program.
+CHART_WIDTH = 60
+_REQUEST_END = re.compile(
+  r'^Request \w+: (.*) after (\d+) ms(.*)\.$', re.DOTALL
+)
+_ATTEMPT = re.compile(r'^Request \w+ at (\S+) \((\S+),.*\): (.*)\.$', re.DOTALL)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Span:
-  """One request from its arrival to its end, in seconds of a day.
+  """One request, from its arrival to its end.
 
-  `notes` tell where it was sent and what came of it.
+  `began` and `ended` are times of day in seconds.  `attempts` has an entry for
+  each attempt: the instance, the instance's domain and the result.
   """
 
   request: str
@@ -31,43 +34,44 @@
   began: float
   ended: float
   outcome: str
-  notes: tuple[str, ...]
+  attempts: tuple[str, ...]
 
 
 def timeline(program: str, /, *logs: pathlib.Path) -> int:
-  """Prints the turns and calls of a program, with their pauses and ends.
+  """Prints a chart of the turns and calls of a program.
 
-  One row stands for one request; its bar shows when it ran.
+  Each row is one request: its start, its duration, a bar that shows when it
+  ran, and its outcome.  The rows below it are its attempts.
 
   Parameters
   ----------
   program
-    The id of the program.
+    Id of the program.
   logs
-    The logs of all daemons: one file each, or lines that begin with the
-    daemon's name.
+    Logs of all daemons: one file for each daemon, or files whose lines
+    begin with the daemon's name.
   """
   events = itertools.chain.from_iterable(explain.read(path) for path in logs)
   spans = find(program, events)
   for row in draw(spans):
     print(row)
   if not spans:
-    print(f'No request of {program} has ended in these logs.')
+    print(f'No finished request of program {program} in these logs.')
   return 0 if spans else 1
 
 
 def find(program: str, events: Iterable[explain.Event]) -> list[Span]:
-  """Returns a program's requests in the order of their arrival."""
-  notes_by_request: dict[str, list[str]] = {}
+  """Returns the finished requests of a program, sorted by arrival."""
+  attempts_by_request: dict[str, list[str]] = {}
   ends: list[tuple[explain.Event, re.Match[str]]] = []
   for event in events:
     if event.program != program:
       continue
-    sent = _SENT.match(event.message)
-    if sent is not None:
-      note = f'{sent[1]} in {sent[2]}: {sent[3]}'
-      notes_by_request.setdefault(event.request, []).append(note)
-    end = _END.match(event.message)
+    attempt_match = _ATTEMPT.match(event.message)
+    if attempt_match is not None:
+      attempt = f'{attempt_match[1]} in {attempt_match[2]}: {attempt_match[3]}'
+      attempts_by_request.setdefault(event.request, []).append(attempt)
+    end = _REQUEST_END.match(event.message)
     if end is not None:
       ends.append((event, end))
   spans = (
@@ -79,7 +83,7 @@
       began=event.at - int(end[2]) / 1000,
       ended=event.at,
       outcome=end[1] + end[3],
-      notes=tuple(notes_by_request.get(event.request, ())),
+      attempts=tuple(attempts_by_request.get(event.request, ())),
     )
     for event, end in ends
   )
@@ -87,20 +91,20 @@
 
 
 def draw(spans: list[Span]) -> Iterator[str]:
-  """Yields the rows of the picture, times from the program's begin."""
+  """Yields the rows of the chart; times count from the first arrival."""
   if not spans:
     return
   first = spans[0].began
-  whole = max(span.ended for span in spans) - first
-  scale = WIDTH / max(whole, 0.001)
+  duration = max(span.ended for span in spans) - first
+  scale = CHART_WIDTH / max(duration, 0.001)
   for span in spans:
     begin = int((span.began - first) * scale)
     length = max(1, round((span.ended - span.began) * scale))
-    bar = (' ' * begin + '=' * length).ljust(WIDTH)[:WIDTH]
+    bar = (' ' * begin + '=' * length).ljust(CHART_WIDTH)[:CHART_WIDTH]
     yield (
       f'{span.began - first:8.3f} {span.ended - span.began:7.3f} '
       f'|{bar}| {span.kind:10} {span.line:8} {span.request} {span.daemon} '
       f'{span.outcome}'
     )
-    for note in span.notes:
-      yield f'{"":17}|{"":{WIDTH}}|   {note}'
+    for attempt in span.attempts:
+      yield f'{"":17}|{"":{CHART_WIDTH}}|   {attempt}'
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""`woadrun explain` finds what decided a request."""
+"""`woadrun explain` finds the log lines that explain a request."""
 
 import json
 
@@ -7,7 +7,7 @@
 TURN, PARENT = '0123456789abcdef', 'fedcba9876543210'
 
 
-def write(path, *lines):
+def write_log(path, *lines):
   path.write_text(
     ''.join(
       json.dumps(
@@ -25,15 +25,17 @@
   return path
 
 
-def test_the_walk_joins_daemons_turns_and_beliefs(tmp_path, capsys):
-  one = write(
+def test_includes_related_turns_and_known_state_of_all_daemons(
+  tmp_path, capsys
+):
+  one = write_log(
     tmp_path / 'one.log',
     (1.0, 'store', 'The store serves this VM.'),
     (8.0, 'store', 'The store does not serve this VM: no answer.'),
     (9.0, 'ingress', f'Request {TURN}: refused, turn {PARENT} is not found.'),
     (9.1, 'store', 'The store serves this VM.'),
   )
-  two = write(
+  two = write_log(
     tmp_path / 'two.log',
     (5.0, 'serving', f'Turn {PARENT} of p is kept: 1 events, 3 tokens.'),
     (8.5, 'store', 'The store does not serve this VM: no answer.'),
@@ -47,8 +49,8 @@
   ]
 
 
-def test_an_id_that_no_line_names_is_said_so(tmp_path, capsys):
-  log = write(tmp_path / 'one.log', (1.0, 'store', 'x'))
+def test_reports_an_id_that_no_line_names(tmp_path, capsys):
+  log = write_log(tmp_path / 'one.log', (1.0, 'store', 'x'))
   log.write_text(log.read_text() + 'no JSON\n{broken\n')
   assert explain.explain(TURN, log) == 1
-  assert 'No line names' in capsys.readouterr().out
+  assert 'No log line names' in capsys.readouterr().out
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""The command line, settings, examples and pages."""
+"""Tests of the command line, settings, examples and documentation."""
 
 import importlib.util
 import json
@@ -37,19 +37,19 @@
   assert {k.row for k in experiment.kinds} <= set(table)
 
 
-def test_the_reference_is_what_the_code_says():
+def test_reference_matches_code():
   expected = load_tool('reference').make_reference()
   assert (ROOT / 'docs' / 'reference.md').read_text() == expected
 
 
-def test_links_between_pages_lead_somewhere():
+def test_links_between_pages_resolve():
   pages = [ROOT / 'README.md', *(ROOT / 'docs').rglob('*.md')]
   for page in pages:
     for target in re.findall(r'\]\(([^)#:]+)\)', page.read_text()):
       assert (page.parent / target).exists(), f'{page}: {target}'
 
 
-def test_all_faults_of_settings_are_told_at_once(tmp_path, capsys):
+def test_all_errors_in_settings_are_reported_together(tmp_path, capsys):
   path = tmp_path / 'bad.toml'
   path.write_text(
     '[daemon]\naddress = "here:80"\ndomain = "north"\nregion_domains = []\n'
@@ -58,20 +58,20 @@
     '[[engines]]\nname = "e"\nurl = "http://e"\ndomain = "north"\nslots = 0\n'
   )
   assert app.run(['config', 'check', str(path)]) == app.Exit.USAGE
-  told = capsys.readouterr().err
+  printed = capsys.readouterr().err
   for key in (
     'daemon.address', 'daemon.region_domains', 'platform.table',
     'platform.speed', 'security.peer_key', 'limits.programs',
     'engines.0.slots', 'engines.0.models',
   ):  # fmt: skip
-    assert f'{path}: {key}: ' in told
+    assert f'{path}: {key}: ' in printed
   assert app.run(['serve', '--config', str(path)]) == app.Exit.USAGE
 
 
 @pytest.mark.parametrize(
   ('text', 'key'), [(None, '(file)'), ('[daemon', '(syntax)')]
 )
-def test_settings_that_cannot_be_read(tmp_path, capsys, text, key):
+def test_unreadable_settings_are_reported(tmp_path, capsys, text, key):
   path = tmp_path / 'x.toml'
   if text is not None:
     path.write_text(text)
@@ -79,7 +79,7 @@
   assert f'{path}: {key}: ' in capsys.readouterr().err
 
 
-def test_faults_of_a_spreadsheet_are_told_with_their_lines():
+def test_errors_in_a_csv_file_are_reported_with_line_numbers():
   text = 'key,weight\nriders,4\ncrews,-1\n,2\nriders,1\n'
   with pytest.raises(errors.FindingsError) as caught:
     rows.from_csv(text, file='t.csv')
@@ -95,14 +95,14 @@
   assert app.run(['table', 'edit', 'no-file', *nobody]) == app.Exit.UNREACHABLE
 
 
-def test_the_demo_serves_all_programs(capsys):
+def test_demo_serves_all_programs(capsys):
   arguments = ['demo', '--daemons', '2', '--programs', '3', '--json']
   assert app.run(arguments) == app.Exit.OK
   seconds = json.loads(capsys.readouterr().out)
   assert {len(s) for s in seconds.values()} == {3} and len(seconds) == 3
 
 
-def test_tables_by_command(capsys, tmp_path, monkeypatch):
+def test_table_commands(capsys, tmp_path, monkeypatch):
   """Show, set, edit, history and status against a running daemon."""
   import asyncio
   import threading
@@ -110,11 +110,11 @@
   import fleet as fleets
 
   started, stop = threading.Event(), threading.Event()
-  where = {}
+  daemon_info = {}
 
   async def serve():
     async with fleets.make_fleet(tmp_path, 'n') as fleet:
-      where['address'] = fleet.nodes[0].listen
+      daemon_info['address'] = fleet.nodes[0].listen
       started.set()
       await asyncio.to_thread(stop.wait)
 
@@ -122,7 +122,7 @@
   thread.start()
   try:
     assert started.wait(60)
-    monkeypatch.setenv('WOADRUN_ADDRESS', where['address'])
+    monkeypatch.setenv('WOADRUN_ADDRESS', daemon_info['address'])
     monkeypatch.setenv('WOADRUN_TOKEN', fleets.local.OPERATOR_TOKEN)
     assert app.run(['table', 'set', 'riders', 'weight=4']) == 0
     assert app.run(['table', 'show']) == 0
@@ -145,7 +145,7 @@
     assert app.run(['table', 'get', 'nobody']) == app.Exit.REFUSED
     assert app.run(['top', '--rounds', '1']) == 0
     out = capsys.readouterr().out
-    assert 'weight          8.0' in out and where['address'].split(':')[0]
+    assert 'weight          8.0' in out and daemon_info['address'].split(':')[0]
     assert app.run(['dump', '--json']) == 0
     assert json.loads(capsys.readouterr().out)['configuration']['version'] == 3
   finally:
@@ -153,5 +153,5 @@
     thread.join(30)
 
 
-def test_python_is_new_enough():
+def test_python_version_is_supported():
   assert sys.version_info >= (3, 11)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""`woadrun timeline` draws what a program's requests did when."""
+"""`woadrun timeline` charts when a program's requests ran."""
 
 import logging
 
@@ -6,8 +6,8 @@
 from woadrun.process import logs
 
 
-def write(path, *records):
-  """Writes records of (seconds, message, request, line) as a daemon does."""
+def write_log(path, *records):
+  """Writes (seconds, message, request, line) records as a daemon logs them."""
   formatter = logs.JsonFormatter()
   lines = []
   for at, message, request, line in records:
@@ -29,13 +29,13 @@
   return path
 
 
-def test_requests_of_all_daemons_are_drawn_in_order(tmp_path, capsys):
-  one = write(
+def test_charts_requests_of_all_daemons_in_order(tmp_path, capsys):
+  one = write_log(
     tmp_path / 'one.log',
     (10.2, 'Request a at e1 (north, 900 ms left): answers 200.', 'a', 'x'),
     (11.0, 'Request a: 2xx after 1000 ms.', 'a', 'x'),
   )
-  two = write(
+  two = write_log(
     tmp_path / 'two.log',
     (14.0, 'Request c: timeout after 1000 ms (too late).', 'c', 'x'),
     (12.0, 'Request b: 2xx after 500 ms.', 'b', 'y'),
@@ -49,9 +49,9 @@
   assert [rows[n].count('=') for n in (0, 2, 3)] == [15, 8, 15]
 
 
-def test_a_program_that_is_not_there_is_said_so(tmp_path, capsys):
-  log = write(
+def test_reports_a_program_without_requests(tmp_path, capsys):
+  log = write_log(
     tmp_path / 'one.log', (1.0, 'Request a: 2xx after 1 ms.', 'a', '')
   )
   assert timeline.timeline('other', log) == 1
-  assert 'No request of other' in capsys.readouterr().out
+  assert 'No finished request of program other in' in capsys.readouterr().out
--- a/tools/build.py
+++ b/tools/build.py
@@ -1,7 +1,7 @@
-"""Builds the single-file program: one process, no child.
+"""Builds `dist/woadrun.pyz`, a zip application made with shiv.
 
-The file is a zip application that unpacks its packages once into the
-folder that SHIV_ROOT names, and runs there in the same process.
+On its first run the file unpacks its packages into the folder that
+SHIV_ROOT names; it imports them from there, without a child process.
 
 Usage: ./dev build
 """
@@ -15,21 +15,29 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 OUTPUT = ROOT / 'dist' / 'woadrun.pyz'
-SITE = ROOT / 'build' / 'site'
+SITE_PACKAGES = ROOT / 'build' / 'site'
 
 
 def main() -> None:
-  """Writes the file and tells its size."""
-  shutil.rmtree(SITE, ignore_errors=True)
-  SITE.mkdir(parents=True)
+  """Builds the zip application and prints its size."""
+  shutil.rmtree(SITE_PACKAGES, ignore_errors=True)
+  SITE_PACKAGES.mkdir(parents=True)
   OUTPUT.parent.mkdir(exist_ok=True)
-  pip = [sys.executable, '-m', 'pip', 'install', '-qq', '--target', str(SITE)]
+  pip = [
+    sys.executable,
+    '-m',
+    'pip',
+    'install',
+    '-qq',
+    '--target',
+    str(SITE_PACKAGES),
+  ]
   lock = str(ROOT / 'requirements.txt')
   subprocess.run([*pip, '--require-hashes', '-r', lock], check=True)
   subprocess.run(
     [*pip, '--no-deps', '--no-build-isolation', str(ROOT)], check=True
   )
-  shiv = [sys.executable, '-m', 'shiv', '--site-packages', str(SITE)]
+  shiv = [sys.executable, '-m', 'shiv', '--site-packages', str(SITE_PACKAGES)]
   shiv += ['--compressed', '--reproducible', '--no-modify']
   shiv += ['-p', '/usr/bin/env python3', '-e', 'woadrun.cli.app:main']
   subprocess.run([*shiv, '-o', str(OUTPUT)], check=True)
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,6 @@
-"""Writes docs/reference.md from the code: settings, columns, errors.
+"""Generates docs/reference.md from the code.
+
+The page lists settings, columns of the table, errors, exit codes and metrics.
 
 Usage: ./dev python tools/reference.py
 """
@@ -19,7 +21,7 @@
 
 PATH = pathlib.Path(__file__).parent.parent / 'docs' / 'reference.md'
 
-# When each error comes up.
+# The condition under which each error is returned.
 MEANING_BY_CODE = {
   errors.Code.BAD_JSON: 'the body is no JSON',
   errors.Code.BAD_REQUEST: 'something in the request is wrong; see `place`',
@@ -58,7 +60,7 @@
 
 
 def make_reference() -> str:
-  """Returns the whole page."""
+  """Returns the text of the reference page."""
   lines = [
     '# Reference',
     '',
@@ -110,7 +112,7 @@
       yield from _describe_section(inner, f'{prefix}{name}{mark}.')
       continue
     default = '(required)' if field.is_required() else repr(field.default)
-    kind = _name_type(field.annotation)
+    kind = _format_type(field.annotation)
     yield f'| `{prefix}{name}` | {kind} | {default} | {field.description} |'
 
 
@@ -122,7 +124,7 @@
   return (found, is_list) if is_model else (None, False)
 
 
-def _name_type(annotation: typing.Any) -> str:
+def _format_type(annotation: typing.Any) -> str:
   if typing.get_origin(annotation) is typing.Literal:
     return ' or '.join(typing.get_args(annotation))
   if typing.get_origin(annotation) is list:
