--- a/src/woadrun/cli/experiment.py
+++ b/src/woadrun/cli/experiment.py
@@ -60,5 +60,5 @@
     lines.append(line)
   if not json:
     operator.print_columns(
-      [report.get_heading(), *(report.get_cells(line) for line in lines)]
+      [report.get_heading(), *(report.format_cells(line) for line in lines)]
     )
--- a/src/woadrun/model/__init__.py
+++ b/src/woadrun/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the engines, and experiments on it."""
+"""Simulation of engines, workloads and scheduling policies."""
--- a/src/woadrun/model/engines.py
+++ b/src/woadrun/model/engines.py
@@ -1,8 +1,8 @@
-"""A model of an engine: slots, speed and a prefix cache.
+"""A simulated engine: slots, speed and a prefix cache.
 
-The cache holds one prefix for each program.  Waste is memory, in
-token-seconds, of prefixes that were not used again: because their
-program was gone, or because they were evicted before.
+The cache holds one prefix for each program.  Waste is the cache memory, in
+token-seconds, of prefixes that were not used again, either because their
+program had ended or because they were evicted first.
 """
 
 from __future__ import annotations
@@ -15,98 +15,117 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Prefix:
-  """A program's prefix in the cache."""
+  """The cached prefix of one program.
+
+  `used_at` is the time of its last use, `ended_at` the time at which the
+  program ended, or None while the program runs.
+  """
 
   tokens: int
   used_at: float
-  gone_at: float | None = None
+  ended_at: float | None = None
 
 
 @dataclasses.dataclass(kw_only=True)
 class Waste:
-  """Memory that was of no use, and that was, in token-seconds."""
+  """Wasted and useful cache memory, in token-seconds.
+
+  `gone` is memory held after the end of the program, `unused` memory of
+  running programs that was dropped before its next use, and `useful` memory
+  whose prefix was used again.
+  """
 
   gone: float = 0.0
   unused: float = 0.0
   useful: float = 0.0
 
   def add(self, other: Waste) -> None:
-    """Adds another engine's."""
+    """Adds the amounts of another engine."""
     self.gone += other.gone
     self.unused += other.unused
     self.useful += other.useful
 
   @property
   def total(self) -> float:
-    """Returns all that was of no use."""
+    """Returns all wasted memory."""
     return self.gone + self.unused
 
 
 class EngineModel:
-  """One engine."""
+  """One simulated engine of a site."""
 
   def __init__(self, *, site: workload.Site, domain: int) -> None:
     self.site = site
     self.domain = domain
     self.running = 0
     self.slowdown = 1.0
-    self.is_lost = False
+    self.has_failed = False
     self.waste = Waste()
-    self._prefixes: OrderedDict[int, Prefix] = OrderedDict()
-    self._tokens = 0
+    self._prefix_by_program: OrderedDict[int, Prefix] = OrderedDict()
+    self._cached_tokens = 0
 
-  def get_cached(self, program: int) -> int:
-    """Returns the tokens that the cache holds of a program."""
-    prefix = self._prefixes.get(program)
+  def get_cached_tokens(self, program: int) -> int:
+    """Returns the number of cached tokens of a program's prefix."""
+    prefix = self._prefix_by_program.get(program)
     return prefix.tokens if prefix else 0
 
-  def get_seconds(self, program: int, prompt: int, output: int) -> float:
-    """Returns how long a call takes that starts now."""
-    missing = max(0, prompt - self.get_cached(program))
+  def get_call_seconds(self, program: int, prompt: int, output: int) -> float:
+    """Returns the seconds that a call takes if it starts now."""
+    missing = max(0, prompt - self.get_cached_tokens(program))
     seconds = missing / self.site.prefill_rate
     return (seconds + output * self.site.token_seconds) * self.slowdown
 
-  def begin(self, program: int, now: float) -> None:
-    """Takes a slot; a cached prefix turns out to be of use."""
+  def begin_call(self, program: int, now: float) -> None:
+    """Occupies a slot and takes the program's prefix out of the cache.
+
+    The memory of a cached prefix since its last use counts as useful.
+    """
     self.running += 1
-    prefix = self._prefixes.pop(program, None)
+    prefix = self._prefix_by_program.pop(program, None)
     if prefix is not None:
       self.waste.useful += (now - prefix.used_at) * prefix.tokens
-      self._tokens -= prefix.tokens
+      self._cached_tokens -= prefix.tokens
 
-  def finish(self, program: int, tokens: int, now: float) -> None:
-    """Frees the slot and keeps the program's prefix, evicting the oldest."""
+  def finish_call(self, program: int, tokens: int, now: float) -> None:
+    """Frees a slot and caches the program's prefix.
+
+    Evicts the least recently used prefixes while the cache is over its
+    capacity and holds more than one.
+    """
     self.running -= 1
     self.drop(program, now)
-    self._prefixes[program] = Prefix(tokens=tokens, used_at=now)
-    self._tokens += tokens
-    while self._tokens > self.site.cache_tokens and len(self._prefixes) > 1:
-      self.drop(next(iter(self._prefixes)), now)
-
-  def mark_gone(self, program: int, now: float) -> None:
-    """Notes that a program is over."""
-    prefix = self._prefixes.get(program)
-    if prefix is not None and prefix.gone_at is None:
-      prefix.gone_at = now
+    self._prefix_by_program[program] = Prefix(tokens=tokens, used_at=now)
+    self._cached_tokens += tokens
+    while (
+      self._cached_tokens > self.site.cache_tokens
+      and len(self._prefix_by_program) > 1
+    ):
+      self.drop(next(iter(self._prefix_by_program)), now)
+
+  def mark_ended(self, program: int, now: float) -> None:
+    """Records that a program has ended, if its prefix is cached."""
+    prefix = self._prefix_by_program.get(program)
+    if prefix is not None and prefix.ended_at is None:
+      prefix.ended_at = now
 
   def drop(self, program: int, now: float) -> None:
-    """Takes a prefix out; all its time since the last use was waste."""
-    prefix = self._prefixes.pop(program, None)
+    """Evicts a prefix; its memory since the last use counts as waste."""
+    prefix = self._prefix_by_program.pop(program, None)
     if prefix is None:
       return
-    self._tokens -= prefix.tokens
-    gone_at = now if prefix.gone_at is None else prefix.gone_at
-    self.waste.unused += (gone_at - prefix.used_at) * prefix.tokens
-    self.waste.gone += (now - gone_at) * prefix.tokens
-
-  def lose(self, now: float) -> None:
-    """Loses the engine with all that it holds."""
-    self.is_lost = True
+    self._cached_tokens -= prefix.tokens
+    ended_at = now if prefix.ended_at is None else prefix.ended_at
+    self.waste.unused += (ended_at - prefix.used_at) * prefix.tokens
+    self.waste.gone += (now - ended_at) * prefix.tokens
+
+  def fail(self, now: float) -> None:
+    """Fails the engine; its running calls and its cache are lost."""
+    self.has_failed = True
     self.running = 0
-    for program in list(self._prefixes):
+    for program in list(self._prefix_by_program):
       self.drop(program, now)
 
   def close(self, now: float) -> None:
-    """Counts what is still held at the end of a run."""
-    for program in list(self._prefixes):
+    """Counts the prefixes still cached at the end of a run as waste."""
+    for program in list(self._prefix_by_program):
       self.drop(program, now)
--- a/src/woadrun/model/report.py
+++ b/src/woadrun/model/report.py
@@ -1,4 +1,4 @@
-"""Tables of an experiment's results."""
+"""Runs an experiment and summarizes its results as a table."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Line:
-  """One policy in one scenario, over all seeds; latencies in seconds.
+  """Results of one policy in one scenario, over all seeds.
 
-  `spread` is the standard deviation of the mean latency over the seeds.
-  Waste and use are in millions of token-seconds.  `goodput` is the work
-  of programs that ended in time, in slots that were busy with it.
+  Latencies are in seconds; `spread` is the standard deviation of the mean
+  latency over the seeds.  `gone` and `unused` are wasted cache memory,
+  `useful` is used cache memory, all in millions of token-seconds.  `goodput`
+  is the work of programs that met their deadline, as the mean number of
+  slots that it occupies.
   """
 
   scenario: str
@@ -40,15 +42,18 @@
 
 
 def run(experiment: workload.Experiment) -> Iterator[Line]:
-  """Yields a line for each scenario and policy."""
+  """Yields a line for each scenario and policy.
+
+  Raises `FindingsError` where the experiment names an unknown policy.
+  """
   unknown = set(experiment.policies) - policies.POLICY_BY_NAME.keys()
   if unknown:
     known = ', '.join(policies.POLICY_BY_NAME)
     finding = errors.Finding(
       file=experiment.name,
       key='policies',
-      reason=f'no policy is named {", ".join(sorted(unknown))}; '
-      f'there are {known}',
+      reason=f'unknown policies: {", ".join(sorted(unknown))}; '
+      f'known policies: {known}',
     )
     raise errors.FindingsError([finding])
   for scenario in experiment.scenarios:
@@ -71,7 +76,7 @@
   policy: str,
   results: Sequence[simulation.Result],
 ) -> Line:
-  """Returns the line of several runs."""
+  """Returns the line for the runs of a policy in a scenario."""
   latencies = sorted(x for result in results for x in result.latencies)
   means = [statistics.fmean(r.latencies) for r in results if r.latencies]
   count = len(results)
@@ -88,19 +93,19 @@
     unused=sum(r.waste.unused for r in results) / count / 1e6,
     useful=sum(r.waste.useful for r in results) / count / 1e6,
     refusals=sum(r.refusals for r in results) // count,
-    failed=sum(r.late + r.given_up for r in results) // count,
+    failed=sum(r.late + r.abandoned for r in results) // count,
     goodput=sum(r.good_seconds for r in results) / count / experiment.seconds,
     fairness=min(r.fairness for r in results),
   )
 
 
-def get_quantile(ordered: Sequence[float], part: float) -> float:
-  """Returns a quantile of ordered values."""
-  return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
+def get_quantile(ordered: Sequence[float], fraction: float) -> float:
+  """Returns the quantile at `fraction` of values in ascending order."""
+  return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
 
 
-def get_cells(line: Line) -> list[object]:
-  """Returns a line's cells as text."""
+def format_cells(line: Line) -> list[object]:
+  """Returns the cells of a line as text, in the order of the heading."""
   return [
     f'{value:.2f}' if isinstance(value, float) else str(value)
     for value in dataclasses.astuple(line)
@@ -108,5 +113,5 @@
 
 
 def get_heading() -> list[object]:
-  """Returns the names of the columns."""
+  """Returns the names of the columns, which are the fields of `Line`."""
   return [field.name for field in dataclasses.fields(Line)]
--- a/src/woadrun/model/simulation.py
+++ b/src/woadrun/model/simulation.py
@@ -1,7 +1,7 @@
-"""One run: programs, policies and engines in simulated time.
+"""A discrete-event simulation of programs, policies and engines.
 
-The decisions are those of the daemon: the same queues, the same routing,
-the same early refusal, with the clock passed in.
+Queues, routing and the estimate for early refusal are the daemon's own code
+from `woadrun.decisions`, which takes the time as a parameter.
 """
 
 from __future__ import annotations
@@ -19,54 +19,73 @@
 from woadrun.model import policies
 from woadrun.model import workload
 
-REPORT_SECONDS = 0.5
-PATIENCE = 30.0
-# A caller that is refused comes back as told, this often at most.
-MOST_RETRIES = 20
-LEARN_RATE = 0.1
-# Windows in which the rows' shares are compared.
-WINDOW_SECONDS = 10.0
-# An engine that fails calls is noticed by its outcomes after so long.
-FAULT_SECONDS = 0.5
-# And left for so long, if there are others.
-AVOID_SECONDS = 2.0
+# Interval at which engines report their load to the daemons.
+LOAD_REPORT_INTERVAL_SECONDS = 0.5
+# Early refusal applies to calls whose expected wait exceeds 1.5 times this.
+WAIT_LIMIT_SECONDS = 30.0
+# A caller retries a refused call after the delay it was given, at most this
+# many times.
+MAX_RETRIES = 20
+# Weight of a new measurement in the moving average of call times.
+CALL_SECONDS_SMOOTHING_WEIGHT = 0.1
+# Length of the windows in which the rows' shares of service are measured.
+FAIRNESS_WINDOW_SECONDS = 10.0
+# Time until the failure of a call on a failed or unreachable engine is noticed.
+FAILURE_DETECTION_SECONDS = 0.5
+# Time for which a domain places no calls on an engine after a failure there.
+AVOIDANCE_SECONDS = 2.0
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
-class Run:
-  """A program under way."""
+class ProgramRun:
+  """The state of a running program or sub-agent.
+
+  `step` is the index of the next call, `tokens` the size of the history,
+  `engine` the index of the engine of the last call or -1, and `attained` the
+  program's service so far in seconds of a slot.
+  """
 
   number: int
   shape: workload.Shape
   daemon: int
   domain: int
   begun_at: float
-  parent: Run | None = None
+  parent: ProgramRun | None = None
   step: int = 0
   tokens: int = 0
   engine: int = -1
   attained: float = 0.0
   retries: int = 0
-  waiting_for: int = 0
-  is_over: bool = False
+  pending_agents: int = 0
+  has_ended: bool = False
   queued_at: float = 0.0
 
   def get_prompt(self) -> int:
-    """Returns the tokens of the next call's prompt."""
+    """Returns the size of the next call's prompt in tokens."""
     return self.tokens + self.shape.steps[self.step].prompt
 
   def get_attained(self) -> float:
-    """Returns the service of the whole program, seconds of a slot."""
+    """Returns the attained service, including that of all parents.
+
+    The result is in seconds of a slot.
+    """
     return self.attained + (self.parent.get_attained() if self.parent else 0)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Result:
-  """What one run of a scenario under a policy came to."""
+  """The results of one run of a scenario under a policy.
+
+  `late` counts programs that missed their deadline or did not end;
+  `abandoned` counts programs and sub-agents whose caller stopped retrying.  An
+  abandoned program is counted in `late` as well.  `good_seconds` is the slot
+  time of programs that met their deadline.  `fairness` is the lowest mean
+  ratio of a row's share of service to its share of the weights.
+  """
 
   latencies: list[float] = dataclasses.field(default_factory=list)
   late: int = 0
-  given_up: int = 0
+  abandoned: int = 0
   refusals: int = 0
   good_seconds: float = 0.0
   waste: engines.Waste = dataclasses.field(default_factory=engines.Waste)
@@ -75,7 +94,7 @@
 
 
 class Simulation:
-  """A run of one scenario under one policy."""
+  """Simulates one scenario under one policy."""
 
   def __init__(
     self,
@@ -92,97 +111,118 @@
     self._seed = seed
     self.now = 0.0
     self._events: list[tuple[float, int, Callable[[], None]]] = []
-    self._numbers = itertools.count()
-    self._programs = itertools.count()
+    self._sequence_numbers = itertools.count()
+    self._program_numbers = itertools.count()
     count = self._site.engines
     self._engines = [
       engines.EngineModel(site=self._site, domain=n % self._site.domains)
       for n in range(count)
     ]
     self._queues = [policy.make_queue() for _ in range(count)]
-    self._seconds = [2.0] * count
-    self._reports = [(0, 0)] * count
-    self._own = [[0] * count for _ in range(self._site.daemons)]
-    # Each domain finds out for itself which engines it does not reach.
+    self._call_seconds = [2.0] * count
+    self._load_reports = [(0, 0)] * count
+    self._own_calls = [[0] * count for _ in range(self._site.daemons)]
+    # Time of the last failure by domain and engine: each domain detects for
+    # itself which engines it cannot reach.
     self._failed_at: dict[tuple[int, int], float] = {}
-    self._waiting: dict[str, tuple[Run, int]] = {}
-    self._live: dict[int, float] = {}
-    self._service: dict[str, float] = {}
-    self._ratios: dict[str, list[float]] = {}
-    self._turn = itertools.count()
+    self._waiting_by_id: dict[str, tuple[ProgramRun, int]] = {}
+    self._begun_at_by_program: dict[int, float] = {}
+    self._service_by_row: dict[str, float] = {}
+    self._share_ratios_by_row: dict[str, list[float]] = {}
+    self._call_numbers = itertools.count()
     self.result = Result()
 
   # --- The clock ------------------------------------------------------------
 
-  def at(self, when: float, action: Callable[[], None]) -> None:
-    """Plans an action."""
-    heapq.heappush(self._events, (when, next(self._numbers), action))
+  def schedule(self, time: float, action: Callable[[], None]) -> None:
+    """Schedules an action at a simulated time."""
+    heapq.heappush(self._events, (time, next(self._sequence_numbers), action))
 
   def run(self) -> Result:
-    """Returns the result once all programs are over or time is up."""
+    """Runs the simulation and returns its result.
+
+    It ends time no events are left, or after twice the experiment's length.
+    """
     shapes = list(
       workload.draw_programs(self._experiment, self._scenario, self._seed)
     )
     for shape in shapes:
-      self.at(shape.arrives, functools.partial(self._arrive, shape))
-    self.at(REPORT_SECONDS, self._report)
-    self.at(WINDOW_SECONDS, self._compare_shares)
-    self._plan_faults()
+      self.schedule(
+        shape.arrives, functools.partial(self._start_program, shape)
+      )
+    self.schedule(LOAD_REPORT_INTERVAL_SECONDS, self._report_loads)
+    self.schedule(FAIRNESS_WINDOW_SECONDS, self._measure_shares)
+    self._schedule_faults()
     end = self._experiment.seconds * 2
     while self._events and self._events[0][0] <= end:
       self.now, _, action = heapq.heappop(self._events)
       action()
-    # A program that is not over counts with the time it has had: to leave
-    # it out would flatter the policy that starves it.
-    self.result.late += len(self._live)
-    self.result.latencies += [end - begun for begun in self._live.values()]
+    # A program that has not ended counts with its time so far: without it, a
+    # policy that starves programs would show lower latencies.
+    self.result.late += len(self._begun_at_by_program)
+    self.result.latencies += [
+      end - begun for begun in self._begun_at_by_program.values()
+    ]
     for engine in self._engines:
       engine.close(self.now)
       self.result.waste.add(engine.waste)
     self.result.fairness = self._get_fairness()
     return self.result
 
-  def _plan_faults(self) -> None:
+  def _schedule_faults(self) -> None:
     scenario = self._scenario
     if scenario.engine >= 0:
       engine = self._engines[scenario.engine]
       if scenario.slowdown > 1:
-        self.at(scenario.fault_from, lambda: self._slow(engine, True))
-        self.at(scenario.fault_until, lambda: self._slow(engine, False))
+        self.schedule(
+          scenario.fault_from, lambda: self._set_slowdown(engine, True)
+        )
+        self.schedule(
+          scenario.fault_until, lambda: self._set_slowdown(engine, False)
+        )
       else:
-        self.at(scenario.fault_from, lambda: self._lose(scenario.engine))
-        self.at(scenario.fault_until, lambda: self._restore(scenario.engine))
-
-  def _slow(self, engine: engines.EngineModel, is_slow: bool) -> None:
+        self.schedule(
+          scenario.fault_from, lambda: self._fail_engine(scenario.engine)
+        )
+        self.schedule(
+          scenario.fault_until, lambda: self._recover_engine(scenario.engine)
+        )
+
+  def _set_slowdown(self, engine: engines.EngineModel, is_slow: bool) -> None:
     engine.slowdown = self._scenario.slowdown if is_slow else 1.0
 
-  def _lose(self, index: int) -> None:
-    self._engines[index].lose(self.now)
-    # Calls that wait there find out and go elsewhere.
+  def _fail_engine(self, index: int) -> None:
+    self._engines[index].fail(self.now)
+    # Waiting calls are placed again once the failure is detected.
     while (call := self._queues[index].pop()) is not None:
-      run, _ = self._waiting.pop(call.id)
-      self._own[run.daemon][index] -= 1
-      self.at(self.now + FAULT_SECONDS, functools.partial(self._call, run))
+      run, _ = self._waiting_by_id.pop(call.id)
+      self._own_calls[run.daemon][index] -= 1
+      self.schedule(
+        self.now + FAILURE_DETECTION_SECONDS,
+        functools.partial(self._place_call, run),
+      )
 
-  def _restore(self, index: int) -> None:
-    self._engines[index].is_lost = False
-    self._grant(index)
+  def _recover_engine(self, index: int) -> None:
+    self._engines[index].has_failed = False
+    self._grant_slots(index)
 
-  def _is_cut(self, one: int, other: int) -> bool:
+  def _is_partitioned(self, domain: int, other: int) -> bool:
     scenario = self._scenario
-    is_time = scenario.fault_from <= self.now < scenario.fault_until
-    return is_time and one != other and scenario.domain in (one, other)
+    is_active = scenario.fault_from <= self.now < scenario.fault_until
+    return is_active and domain != other and scenario.domain in (domain, other)
 
   # --- Programs -------------------------------------------------------------
 
-  def _arrive(self, shape: workload.Shape, parent: Run | None = None) -> None:
-    number = next(self._programs)
+  def _start_program(
+    self, shape: workload.Shape, parent: ProgramRun | None = None
+  ) -> None:
+    number = next(self._program_numbers)
     if parent is None:
       domain = number % self._site.domains
       daemon = number % self._site.daemons
     else:
       domain, daemon = parent.domain, parent.daemon
-    run = Run(
+    run = ProgramRun(
       number=number,
       shape=shape,
       daemon=daemon,
@@ -191,51 +231,58 @@
       parent=parent,
     )
     if parent is None:
-      self._live[number] = self.now
-    self._call(run)
+      self._begun_at_by_program[number] = self.now
+    self._place_call(run)
 
-  def _call(self, run: Run) -> None:
-    if run.is_over:
+  def _place_call(self, run: ProgramRun) -> None:
+    if run.has_ended:
       return
-    index = self._policy.choose(self._make_views(run), next(self._turn))
+    index = self._policy.choose(self._make_views(run), next(self._call_numbers))
     if index is None:
-      self.at(self.now + AVOID_SECONDS, lambda: self._call(run))
+      self.schedule(self.now + AVOIDANCE_SECONDS, lambda: self._place_call(run))
       return
     engine = self._engines[index]
-    if engine.is_lost or self._is_cut(run.domain, engine.domain):
-      self._fail(run, index)
+    if engine.has_failed or self._is_partitioned(run.domain, engine.domain):
+      self._fail_call(run, index)
       return
     wait = admission.estimate_return(
-      len(self._queues[index]), self._site.slots, self._seconds[index]
+      len(self._queues[index]), self._site.slots, self._call_seconds[index]
     )
     is_busy = engine.running >= self._site.slots
     is_new = run.attained == 0 or self._policy.refuses_all
-    if self._policy.refuses and is_new and is_busy and wait > PATIENCE * 1.5:
-      self._refuse(run, wait)
+    if (
+      self._policy.refuses
+      and is_new
+      and is_busy
+      and wait > WAIT_LIMIT_SECONDS * 1.5
+    ):
+      self._refuse_call(run, wait)
       return
     self._enqueue(run, index)
 
-  def _fail(self, run: Run, index: int) -> None:
+  def _fail_call(self, run: ProgramRun, index: int) -> None:
     self._failed_at[run.domain, index] = self.now
-    self.at(self.now + FAULT_SECONDS, lambda: self._call(run))
+    self.schedule(
+      self.now + FAILURE_DETECTION_SECONDS, lambda: self._place_call(run)
+    )
 
-  def _refuse(self, run: Run, seconds: float) -> None:
+  def _refuse_call(self, run: ProgramRun, seconds: float) -> None:
     self.result.refusals += 1
     run.retries += 1
-    if run.retries > MOST_RETRIES:
-      self.result.given_up += 1
-      self._end(run)
+    if run.retries > MAX_RETRIES:
+      self.result.abandoned += 1
+      self._end_program(run)
       return
-    self.at(self.now + seconds, lambda: self._call(run))
+    self.schedule(self.now + seconds, lambda: self._place_call(run))
 
-  def _enqueue(self, run: Run, index: int) -> None:
+  def _enqueue(self, run: ProgramRun, index: int) -> None:
     if self._policy.drops_on_move and run.engine not in (index, -1):
       self._engines[run.engine].drop(run.number, self.now)
     step = run.shape.steps[run.step]
-    name = f'{run.number}/{run.step}/{next(self._numbers)}'
+    name = f'{run.number}/{run.step}/{next(self._sequence_numbers)}'
     run.queued_at = self.now
-    self._own[run.daemon][index] += 1
-    self._waiting[name] = (run, index)
+    self._own_calls[run.daemon][index] += 1
+    self._waiting_by_id[name] = (run, index)
     self._queues[index].push(
       queue.Waiting(
         id=name,
@@ -248,120 +295,124 @@
         arrived=self.now,
       )
     )
-    self._grant(index)
+    self._grant_slots(index)
     waiting = sum(map(len, self._queues))
     self.result.peak_waiting = max(self.result.peak_waiting, waiting)
 
-  def _get_remaining(self, run: Run) -> float:
-    # Only the bound may look at this.
+  def _get_remaining(self, run: ProgramRun) -> float:
+    # Only the policy `bound` uses this value: it is unknown in production.
     left = run.shape.steps[run.step :]
     return sum(step.output for step in left) * self._site.token_seconds
 
-  def _grant(self, index: int) -> None:
+  def _grant_slots(self, index: int) -> None:
     engine = self._engines[index]
-    while engine.running < self._site.slots and not engine.is_lost:
+    while engine.running < self._site.slots and not engine.has_failed:
       call = self._queues[index].pop()
       if call is None:
         return
-      run, _ = self._waiting.pop(call.id)
+      run, _ = self._waiting_by_id.pop(call.id)
       step = run.shape.steps[run.step]
       prompt = run.get_prompt()
-      seconds = engine.get_seconds(run.number, prompt, step.output)
-      engine.begin(run.number, self.now)
-      self.at(
+      seconds = engine.get_call_seconds(run.number, prompt, step.output)
+      engine.begin_call(run.number, self.now)
+      self.schedule(
         self.now + seconds,
-        functools.partial(self._finish, run, index, seconds),
+        functools.partial(self._finish_call, run, index, seconds),
       )
 
-  def _finish(self, run: Run, index: int, seconds: float) -> None:
+  def _finish_call(self, run: ProgramRun, index: int, seconds: float) -> None:
     engine = self._engines[index]
-    if engine.is_lost:
-      self._own[run.daemon][index] -= 1
-      self._fail(run, index)
+    if engine.has_failed:
+      self._own_calls[run.daemon][index] -= 1
+      self._fail_call(run, index)
       return
     step = run.shape.steps[run.step]
     run.tokens = run.get_prompt() + step.output
-    engine.finish(run.number, run.tokens, self.now)
-    self._own[run.daemon][index] -= 1
-    self._learn(index, seconds)
+    engine.finish_call(run.number, run.tokens, self.now)
+    self._own_calls[run.daemon][index] -= 1
+    self._update_call_seconds(index, seconds)
     run.engine = index
     run.attained += seconds
     row = run.shape.kind.row
-    self._service[row] = self._service.get(row, 0.0) + seconds
-    self._go_on(run, step)
-    self._grant(index)
+    self._service_by_row[row] = self._service_by_row.get(row, 0.0) + seconds
+    self._advance(run, step)
+    self._grant_slots(index)
 
-  def _learn(self, index: int, seconds: float) -> None:
-    self._seconds[index] += LEARN_RATE * (seconds - self._seconds[index])
+  def _update_call_seconds(self, index: int, seconds: float) -> None:
+    self._call_seconds[index] += CALL_SECONDS_SMOOTHING_WEIGHT * (
+      seconds - self._call_seconds[index]
+    )
 
-  def _go_on(self, run: Run, step: workload.Step) -> None:
+  def _advance(self, run: ProgramRun, step: workload.Step) -> None:
     run.step += 1
     if step.agents:
-      run.waiting_for = len(step.agents)
+      run.pending_agents = len(step.agents)
       for shape in step.agents:
-        self._arrive(shape, run)
+        self._start_program(shape, run)
     elif run.step == len(run.shape.steps):
-      self._end(run)
+      self._end_program(run)
     else:
       self._pause(run, step.pause)
 
-  def _pause(self, run: Run, seconds: float) -> None:
+  def _pause(self, run: ProgramRun, seconds: float) -> None:
     if self._policy.drops_at_pause(seconds) and run.engine >= 0:
       self._engines[run.engine].drop(run.number, self.now)
-    self.at(self.now + seconds, lambda: self._call(run))
+    self.schedule(self.now + seconds, lambda: self._place_call(run))
 
-  def _end(self, run: Run) -> None:
-    run.is_over = True
+  def _end_program(self, run: ProgramRun) -> None:
+    run.has_ended = True
     for engine in self._engines:
-      engine.mark_gone(run.number, self.now)
+      engine.mark_ended(run.number, self.now)
       if self._policy.drops_at_end:
         engine.drop(run.number, self.now)
     parent = run.parent
     if parent is not None:
-      parent.waiting_for -= 1
-      if parent.waiting_for == 0:
+      parent.pending_agents -= 1
+      if parent.pending_agents == 0:
         self._resume_parent(parent)
       return
-    if run.retries > MOST_RETRIES:
+    if run.retries > MAX_RETRIES:
       return
-    self._live.pop(run.number, None)
+    self._begun_at_by_program.pop(run.number, None)
     latency = self.now - run.begun_at
     self.result.latencies.append(latency)
     if latency > run.shape.kind.deadline:
       self.result.late += 1
     elif self.now <= self._experiment.seconds:
-      self.result.good_seconds += workload.get_work(run.shape, self._site)
+      self.result.good_seconds += workload.get_minimum_seconds(
+        run.shape, self._site
+      )
 
-  def _resume_parent(self, parent: Run) -> None:
+  def _resume_parent(self, parent: ProgramRun) -> None:
     if parent.step == len(parent.shape.steps):
-      self._end(parent)
+      self._end_program(parent)
     else:
-      self._call(parent)
+      self._place_call(parent)
 
-  # --- What the daemons see -------------------------------------------------
+  # --- What the daemons know -------------------------------------------------
 
-  def _report(self) -> None:
-    self._reports = [
+  def _report_loads(self) -> None:
+    self._load_reports = [
       (engine.running, len(waiting))
       for engine, waiting in zip(self._engines, self._queues, strict=True)
     ]
-    self.at(self.now + REPORT_SECONDS, self._report)
+    self.schedule(self.now + LOAD_REPORT_INTERVAL_SECONDS, self._report_loads)
 
-  def _make_views(self, run: Run) -> list[policies.View]:
+  def _make_views(self, run: ProgramRun) -> list[policies.View]:
     return [self._make_view(run, index) for index in range(len(self._engines))]
 
-  def _make_view(self, run: Run, index: int) -> policies.View:
-    running, waiting = self._reports[index]
-    own = self._own[run.daemon][index]
+  def _make_view(self, run: ProgramRun, index: int) -> policies.View:
+    running, waiting = self._load_reports[index]
+    own = self._own_calls[run.daemon][index]
     failed_at = self._failed_at.get((run.domain, index), float('-inf'))
-    is_failed = self.now - failed_at < AVOID_SECONDS
+    is_avoided = self.now - failed_at < AVOIDANCE_SECONDS
     return policies.View(
       candidate=routing.Candidate(
         name=str(index),
-        slots=0 if is_failed else self._site.slots,
+        slots=0 if is_avoided else self._site.slots,
         running=max(own, running),
         waiting=waiting,
-        seconds=self._seconds[index],
+        seconds=self._call_seconds[index],
         cached=run.tokens if run.engine == index else 0,
         is_near=self._engines[index].domain == run.domain,
       ),
@@ -371,19 +422,23 @@
 
   # --- Shares ---------------------------------------------------------------
 
-  def _compare_shares(self) -> None:
-    waiting = {run.shape.kind.row for run, _ in self._waiting.values()}
+  def _measure_shares(self) -> None:
+    waiting = {run.shape.kind.row for run, _ in self._waiting_by_id.values()}
     kinds = {kind.row: kind.weight for kind in self._experiment.kinds}
     if len(waiting) == len(kinds) > 1:
-      total = sum(self._service.values())
+      total = sum(self._service_by_row.values())
       weights = sum(kinds.values())
       for row, weight in kinds.items():
-        share = self._service.get(row, 0.0) / total if total else 0.0
-        self._ratios.setdefault(row, []).append(share / (weight / weights))
-    self._service = {}
+        share = self._service_by_row.get(row, 0.0) / total if total else 0.0
+        self._share_ratios_by_row.setdefault(row, []).append(
+          share / (weight / weights)
+        )
+    self._service_by_row = {}
     if self.now < self._experiment.seconds:
-      self.at(self.now + WINDOW_SECONDS, self._compare_shares)
+      self.schedule(self.now + FAIRNESS_WINDOW_SECONDS, self._measure_shares)
 
   def _get_fairness(self) -> float:
-    means = [sum(r) / len(r) for r in self._ratios.values() if len(r) > 1]
+    means = [
+      sum(r) / len(r) for r in self._share_ratios_by_row.values() if len(r) > 1
+    ]
     return min(means, default=1.0)
--- a/src/woadrun/model/workload.py
+++ b/src/woadrun/model/workload.py
@@ -1,6 +1,7 @@
-"""Workloads of an experiment: programs whose shape no policy sees.
+"""Experiment files and the random workloads drawn from them.
 
-Times are in seconds, sizes in tokens.  Everything is drawn from one seed.
+Times are in seconds, sizes in tokens.  A workload depends on the seed alone,
+so all policies of an experiment run the same programs.
 """
 
 from __future__ import annotations
@@ -18,17 +19,19 @@
 from woadrun import errors
 from woadrun import settings
 
-# A hung tool is cut by the row's limit after so long.
-HANG_SECONDS = 30.0
-MOST_AGENTS = 3
+# A hung tool ends after this long, at the time limit of the row.
+TOOL_TIMEOUT_SECONDS = 30.0
+MAX_AGENTS = 3
 
 
 class Kind(settings.Section):
   """A row of the operators' table and the programs that run under it.
 
-  Programs have `turns` model calls at the median, spread log-normally by
-  `spread`, each with `prompt` new tokens, `output` generated ones and a
-  pause after it.
+  The number of model calls of a program has a log-normal distribution with
+  median `turns` and standard deviation `spread` of its logarithm.  Each call
+  has `prompt` new tokens (the first one `first_prompt`) and `output`
+  generated tokens at the median, and is followed by a pause with the mean
+  `pause`.
   """
 
   row: str
@@ -46,10 +49,14 @@
 
 
 class Scenario(settings.Section):
-  """What happens: how many programs arrive, and what fails when.
-
-  Between `from` and `until` arrivals are multiplied by `factor`; the
-  engine numbered `engine` is lost or slowed, or a `domain` is cut off.
+  """The load and the faults of a run.
+
+  Between `surge_from` and `surge_until` the arrival rate is multiplied by
+  `factor`.  Between `fault_from` and `fault_until` the engine with the index
+  `engine` fails, or is slowed down by `slowdown` if that is over 1, and the
+  failure domain with the index `domain` is cut off from the others; -1 means
+  none.  `loops` and `hangs` are the probabilities that a program runs until
+  the limit of its calls, and that a tool hangs after a call.
   """
 
   name: str
@@ -66,7 +73,7 @@
 
 
 class Site(settings.Section):
-  """The engines of a site and what they do."""
+  """The failure domains, engines and daemons of a site."""
 
   domains: int = pydantic.Field(ge=1)
   engines: int = pydantic.Field(ge=1)
@@ -78,7 +85,7 @@
 
 
 class Experiment(settings.Section):
-  """A whole experiment: one site, its kinds of work, and scenarios."""
+  """An experiment: one site, its kinds of programs, scenarios and policies."""
 
   name: str
   seconds: float = pydantic.Field(600.0, gt=0)
@@ -91,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Step:
-  """One model call and what follows: a pause, or sub-agents to wait for."""
+  """One model call, followed by a pause or by sub-agents to wait for."""
 
   prompt: int
   output: int
@@ -101,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Shape:
-  """The whole of a program, known to no policy but the bound."""
+  """All steps of a program; only the policy `bound` may look ahead in them."""
 
   kind: Kind
   steps: tuple[Step, ...]
@@ -109,7 +116,10 @@
 
 
 def load(path: pathlib.Path) -> Experiment:
-  """Returns the experiment in a TOML file, or raises all findings."""
+  """Returns the experiment in a TOML file.
+
+  Raises `FindingsError` with all errors in the file.
+  """
   file = str(path)
   try:
     data: dict[str, Any] = tomllib.loads(path.read_text())
@@ -128,38 +138,38 @@
 def draw_programs(
   experiment: Experiment, scenario: Scenario, seed: int
 ) -> Iterator[Shape]:
-  """Yields all programs of a run, kind by kind, in order of arrival."""
+  """Yields all programs of a run: by kind, and by arrival within a kind."""
   for index, kind in enumerate(experiment.kinds):
-    chance = random.Random(f'{seed}/{scenario.name}/{index}')
+    rng = random.Random(f'{seed}/{scenario.name}/{index}')
     now = 0.0
     while now < experiment.seconds:
       is_surge = scenario.surge_from <= now < scenario.surge_until
       rate = kind.per_second * (scenario.factor if is_surge else 1.0)
-      now += chance.expovariate(rate)
-      yield _draw_shape(chance, kind, scenario, arrives=now, depth=0)
+      now += rng.expovariate(rate)
+      yield _draw_shape(rng, kind, scenario, arrives=now, depth=0)
 
 
 def _draw_shape(
-  chance: random.Random,
+  rng: random.Random,
   kind: Kind,
   scenario: Scenario,
   *,
   arrives: float,
   depth: int,
 ) -> Shape:
-  turns = _draw_size(chance, kind.turns, kind.spread)
-  if depth == 0 and chance.random() < scenario.loops:
+  turns = _draw_size(rng, kind.turns, kind.spread)
+  if depth == 0 and rng.random() < scenario.loops:
     turns = kind.max_calls * 10
   turns = min(turns, kind.max_calls)
   steps = tuple(
-    _draw_step(chance, kind, scenario, number=number, depth=depth)
+    _draw_step(rng, kind, scenario, number=number, depth=depth)
     for number in range(turns)
   )
   return Shape(kind=kind, steps=steps, arrives=arrives)
 
 
 def _draw_step(
-  chance: random.Random,
+  rng: random.Random,
   kind: Kind,
   scenario: Scenario,
   *,
@@ -167,32 +177,38 @@
   depth: int,
 ) -> Step:
   median = kind.prompt if number else kind.first_prompt
-  pause = chance.expovariate(1 / kind.pause) if kind.pause else 0.0
-  if chance.random() < scenario.hangs:
-    pause += HANG_SECONDS
+  pause = rng.expovariate(1 / kind.pause) if kind.pause else 0.0
+  if rng.random() < scenario.hangs:
+    pause += TOOL_TIMEOUT_SECONDS
   agents: tuple[Shape, ...] = ()
-  if depth == 0 and chance.random() < kind.agents / max(1.0, kind.turns):
-    count = chance.randint(1, MOST_AGENTS)
+  if depth == 0 and rng.random() < kind.agents / max(1.0, kind.turns):
+    count = rng.randint(1, MAX_AGENTS)
     agents = tuple(
-      _draw_shape(chance, kind, scenario, arrives=0.0, depth=1)
+      _draw_shape(rng, kind, scenario, arrives=0.0, depth=1)
       for _ in range(count)
     )
   return Step(
-    prompt=_draw_size(chance, median, 0.5),
-    output=_draw_size(chance, kind.output, 0.7),
+    prompt=_draw_size(rng, median, 0.5),
+    output=_draw_size(rng, kind.output, 0.7),
     pause=pause,
     agents=agents,
   )
 
 
-def _draw_size(chance: random.Random, median: float, spread: float) -> int:
-  return max(1, round(median * math.exp(chance.gauss(0.0, spread))))
+def _draw_size(rng: random.Random, median: float, spread: float) -> int:
+  return max(1, round(median * math.exp(rng.gauss(0.0, spread))))
 
 
-def get_work(shape: Shape, site: Site) -> float:
-  """Returns the seconds of an engine's slot that a program needs at least."""
+def get_minimum_seconds(shape: Shape, site: Site) -> float:
+  """Returns the least slot time of a program, in seconds.
+
+  It counts each prompt without the history before it, which is what a call
+  costs with a full cache hit.
+  """
   own = sum(
     step.prompt / site.prefill_rate + step.output * site.token_seconds
     for step in shape.steps
   )
-  return own + sum(get_work(a, site) for s in shape.steps for a in s.agents)
+  return own + sum(
+    get_minimum_seconds(a, site) for s in shape.steps for a in s.agents
+  )
