--- a/src/woadrun/cli/app.py
+++ b/src/woadrun/cli/app.py
@@ -21,7 +21,7 @@
 from woadrun.cli import timeline
 
 
-class Exit(enum.IntEnum):
+class ExitCode(enum.IntEnum):
   """The exit codes of all commands."""
 
   OK = 0
@@ -63,24 +63,24 @@
   """
   try:
     result = app(arguments, exit_on_error=False, result_action='return_value')
-    return result if isinstance(result, int) else Exit.OK
+    return result if isinstance(result, int) else ExitCode.OK
   except cyclopts.CycloptsError:
     # cyclopts has already printed the error.
-    return Exit.USAGE
+    return ExitCode.USAGE
   except errors.FindingsError as error:
     print(error, file=sys.stderr)
-    return Exit.USAGE
+    return ExitCode.USAGE
   except errors.WoadrunError as error:
     _print_error(error)
-    return Exit.REFUSED
+    return ExitCode.REFUSED
   except (aiohttp.ClientError, TimeoutError, OSError) as error:
     print(
       f'No answer from the daemon: {error or type(error).__name__}',
       file=sys.stderr,
     )
-    return Exit.UNREACHABLE
+    return ExitCode.UNREACHABLE
   except KeyboardInterrupt:
-    return Exit.INTERRUPTED
+    return ExitCode.INTERRUPTED
 
 
 def _print_error(error: errors.WoadrunError) -> None:
--- a/src/woadrun/cli/explain.py
+++ b/src/woadrun/cli/explain.py
@@ -63,7 +63,7 @@
 def explain(request: str, /, *logs: pathlib.Path) -> int:
   """Prints the log lines about one request and the state its daemons knew.
 
-  Prints the lines that name the request, the lines that name any other id
+  Prints the lines that name the request, all lines that name any of the ids
   in those lines (such as earlier turns), and the lines in which the same
   daemons recorded the state of the store, peers, routes and instances, from
   shortly before the request's first line to its last one.
--- a/src/woadrun/model/policies.py
+++ b/src/woadrun/model/policies.py
@@ -74,7 +74,7 @@
 def choose_ignoring_cache(
   views: Sequence[View], call_number: int
 ) -> int | None:
-  """Returns the index of the fastest engine if caches were empty."""
+  """Returns the index of the fastest engine, ignoring cached prefixes."""
   uncached = [
     dataclasses.replace(v, candidate=dataclasses.replace(v.candidate, cached=0))
     for v in views
@@ -83,7 +83,7 @@
 
 
 def choose_round_robin(views: Sequence[View], call_number: int) -> int | None:
-  """Returns the index of the next engine in call_number, whatever its state."""
+  """Returns the index of the next engine in turn, whatever its state."""
   return call_number % len(views)
 
 
--- a/src/woadrun/model/simulation.py
+++ b/src/woadrun/model/simulation.py
@@ -141,7 +141,8 @@
   def run(self) -> Result:
     """Runs the simulation and returns its result.
 
-    It ends time no events are left, or after twice the experiment's length.
+    The run ends when no events are left, or after twice the length of the
+    experiment.
     """
     shapes = list(
       workload.draw_programs(self._experiment, self._scenario, self._seed)
--- a/src/woadrun/standins/__init__.py
+++ b/src/woadrun/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests and the demo."""
+"""Stand-ins for the external systems, for tests and the demo."""
--- a/src/woadrun/standins/base.py
+++ b/src/woadrun/standins/base.py
@@ -1,9 +1,12 @@
-"""What all stand-ins share: a listener and faults switched on by request.
+"""The base of all stand-ins: an HTTP server with fault injection.
 
-`POST /faults` with a JSON object sets faults: `down` (refuse with 503),
-`delay` (seconds before each answer), `lose` (how many writes to answer
-with a cut connection after they took effect), `rate` (requests a second,
-0 for no limit).  Clients whose IP numbers are in `cut` get no answer.
+`POST /faults` with a JSON object sets the faults: `down` (answer every request
+with 503), `delay` (seconds before each answer), `lose` (number of following
+writes that are applied but whose connection is aborted instead of answered),
+`rate` (limit in requests per second, 429 above it; 0 for no limit).
+
+Requests from the IP addresses in `StandIn.cut` are delayed by
+`PARTITION_DELAY_SECONDS`, which is longer than any client waits.
 """
 
 from __future__ import annotations
@@ -16,14 +19,15 @@
 from aiohttp import web
 import msgspec
 
-BODY_BYTES = 256_000_000
-# A cut shows as silence, for longer than anyone waits.
-CUT_SECONDS = 30.0
-SHUTDOWN_SECONDS = 0.1
+MAX_BODY_BYTES = 256_000_000
+# Delay of requests from a partitioned client: longer than any client waits, so
+# that the client sees no answer.
+PARTITION_DELAY_SECONDS = 30.0
+SHUTDOWN_TIMEOUT_SECONDS = 0.1
 
 
 class Faults(msgspec.Struct, kw_only=True):
-  """The faults that are switched on."""
+  """The faults that are currently injected."""
 
   down: bool = False
   delay: float = 0.0
@@ -32,7 +36,7 @@
 
 
 class StandIn:
-  """One outside system, served over loopback."""
+  """An HTTP server that stands in for one external system."""
 
   def __init__(self) -> None:
     self.faults = Faults()
@@ -40,24 +44,24 @@
     self.requests = 0
     self.writes = 0
     self.refused = 0
-    self._level = 0.0
-    self._filled_at = time.monotonic()
+    self._rate_tokens = 0.0
+    self._refilled_at = time.monotonic()
     self._runner: web.AppRunner | None = None
     self.url = ''
 
   def get_routes(self) -> Iterable[web.RouteDef]:
-    """Returns the routes of the outside system."""
+    """Returns the routes of the external system's interface."""
     raise NotImplementedError
 
   async def start(self, host: str = '127.0.0.1', port: int = 0) -> str:
-    """Returns the base URL once the stand-in listens."""
+    """Starts the server and returns its base URL."""
     application = web.Application(
-      client_max_size=BODY_BYTES, middlewares=[self._apply_faults]
+      client_max_size=MAX_BODY_BYTES, middlewares=[self._apply_faults]
     )
     application.add_routes(self.get_routes())
     application.add_routes([web.post('/faults', self._set_faults)])
     self._runner = web.AppRunner(
-      application, access_log=None, shutdown_timeout=SHUTDOWN_SECONDS
+      application, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS
     )
     await self._runner.setup()
     await web.TCPSite(self._runner, host, port).start()
@@ -66,7 +70,7 @@
     return self.url
 
   async def stop(self) -> None:
-    """Closes the listener."""
+    """Stops the server."""
     if self._runner is not None:
       await self._runner.cleanup()
 
@@ -83,7 +87,7 @@
       return response
     self.requests += 1
     if request.remote in self.cut:
-      await asyncio.sleep(CUT_SECONDS)
+      await asyncio.sleep(PARTITION_DELAY_SECONDS)
     if self.faults.down or not self._is_within_rate():
       self.refused += 1
       return web.Response(status=503 if self.faults.down else 429)
@@ -102,16 +106,18 @@
     if not rate:
       return True
     now = time.monotonic()
-    self._level = min(rate, self._level + (now - self._filled_at) * rate)
-    self._filled_at = now
-    if self._level < 1:
+    self._rate_tokens = min(
+      rate, self._rate_tokens + (now - self._refilled_at) * rate
+    )
+    self._refilled_at = now
+    if self._rate_tokens < 1:
       return False
-    self._level -= 1
+    self._rate_tokens -= 1
     return True
 
 
 def make_json(data: Any, status: int = 200) -> web.Response:
-  """Returns a JSON response."""
+  """Returns a response with `data` encoded as JSON."""
   return web.Response(
     body=msgspec.json.encode(data),
     status=status,
--- a/src/woadrun/standins/engine.py
+++ b/src/woadrun/standins/engine.py
@@ -1,8 +1,9 @@
 """A stand-in for a model engine.
 
-It batches a limited number of calls, computes a prompt at a fixed rate
-less what its prefix cache holds, and streams one event for each token.
-Tokens are blank-separated words; the answer is a function of the prompt.
+It runs a limited number of calls at a time, computes the part of a prompt that
+is not in its prefix cache at a fixed rate, and streams one event per token.
+Tokens are words separated by whitespace; the same prompt always gives the same
+answer.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 from woadrun.standins import base
 
-KEEP_STREAMS = 1000
-EVENTS_KEPT = 200
-MOST_PER_STEP = 64
+MAX_RETAINED_STREAMS = 1000
+MAX_RETAINED_CACHE_EVENTS = 200
+YIELD_INTERVAL_TOKENS = 64
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class _Stream:
-  """A call that the engine has begun: its events so far."""
+  """The events of one call so far, which several responses may read."""
 
   events: list[bytes] = dataclasses.field(default_factory=list)
   is_done: bool = False
@@ -36,15 +37,20 @@
 
   def add(self, event: bytes) -> None:
     self.events.append(event)
-    self.wake()
+    self.notify()
 
-  def wake(self) -> None:
+  def notify(self) -> None:
     self.changed.set()
     self.changed = asyncio.Event()
 
 
 class Engine(base.StandIn):
-  """One model engine."""
+  """An engine with the interface that daemons use.
+
+  `report_lag` is the delay in seconds with which the engine reports its load
+  and its cache events.  With `checks_fencing` the engine refuses orders and
+  cache drops whose fencing number is below the highest one received.
+  """
 
   def __init__(
     self,
@@ -57,19 +63,19 @@
     report_lag: float = 0.5,
   ) -> None:
     super().__init__()
-    self._gate = _PriorityGate(slots)
+    self._semaphore = _PrioritySemaphore(slots)
     self._cache_tokens = cache_tokens
     self._prefill_rate = prefill_rate
     self._token_seconds = token_seconds
     self._checks_fencing = checks_fencing
     self._report_lag = report_lag
-    self._cache: OrderedDict[str, int] = OrderedDict()
-    self._events: list[dict[str, Any]] = []
+    self._tokens_by_salt: OrderedDict[str, int] = OrderedDict()
+    self._cache_events: list[dict[str, Any]] = []
     self._stream_by_id: OrderedDict[str, _Stream] = OrderedDict()
-    self._fencing = 0
-    self._report: dict[str, int] = {}
+    self._highest_fencing = 0
+    self._load_report: dict[str, int] = {}
     self._reported_at = 0.0
-    self.slow = 1.0
+    self.slowdown = 1.0
     self.orders: list[dict[str, Any]] = []
     self.calls = 0
 
@@ -85,57 +91,58 @@
       web.post('/v1/cache/drop', self._drop_cache),
       web.post('/v1/cache/export', self._export_cache),
       web.post('/v1/cache/import', self._import_cache),
-      web.post('/v1/orders', self._order),
-      web.post('/slow', self._set_slow),
+      web.post('/v1/orders', self._accept_order),
+      web.post('/slow', self._set_slowdown),
     ]
 
   # --- Calls ----------------------------------------------------------------
 
   async def _complete(self, request: web.Request) -> web.StreamResponse:
     body = msgspec.json.decode(await request.read())
-    name = request.headers.get('X-Request-Id', str(time.monotonic_ns()))
+    call_id = request.headers.get('X-Request-Id', str(time.monotonic_ns()))
     stream = _Stream()
-    self._stream_by_id[name] = stream
-    while len(self._stream_by_id) > KEEP_STREAMS:
+    self._stream_by_id[call_id] = stream
+    while len(self._stream_by_id) > MAX_RETAINED_STREAMS:
       self._stream_by_id.popitem(last=False)
     self.calls += 1
-    task = asyncio.ensure_future(self._generate(stream, body, name))
-    task.add_done_callback(lambda _: stream.wake())
+    task = asyncio.ensure_future(self._generate(stream, body, call_id))
+    task.add_done_callback(lambda _: stream.notify())
     return await self._send(request, stream)
 
   async def _generate(
-    self, stream: _Stream, body: dict[str, Any], name: str
+    self, stream: _Stream, body: dict[str, Any], call_id: str
   ) -> None:
-    await self._gate.enter(-int(body.get('priority', 0)))
+    await self._semaphore.acquire(-int(body.get('priority', 0)))
     try:
-      await self._compute(stream, body, name)
+      await self._compute(stream, body, call_id)
     finally:
-      self._gate.leave()
+      self._semaphore.release()
       stream.is_done = True
 
   async def _compute(
-    self, stream: _Stream, body: dict[str, Any], name: str
+    self, stream: _Stream, body: dict[str, Any], call_id: str
   ) -> None:
     text = '\n'.join(str(m.get('content')) for m in body['messages'])
     prompt = max(1, len(text.split()))
     salt = str(body.get('cache_salt', ''))
-    cached = min(self._cache.get(salt, 0), prompt)
-    await asyncio.sleep(self.slow * (prompt - cached) / self._prefill_rate)
+    cached = min(self._tokens_by_salt.get(salt, 0), prompt)
+    await asyncio.sleep(self.slowdown * (prompt - cached) / self._prefill_rate)
     words = _make_words(text, int(body.get('max_tokens') or 16), body)
-    pause = self._token_seconds * self.slow
+    token_interval = self._token_seconds * self.slowdown
     started = time.monotonic()
     for index, word in enumerate(words):
       if stream.is_cancelled:
         return
-      stream.add(_make_event({'delta': {'content': word}}, name))
-      # Sleep only when ahead of the clock: timers are coarse.
-      ahead = started + (index + 1) * pause - time.monotonic()
-      if ahead > 0.001 or index % MOST_PER_STEP == 0:
+      stream.add(_make_event({'delta': {'content': word}}, call_id))
+      # Sleep only when ahead of schedule: the timer's resolution is too coarse
+      # for one sleep per token.  Yield to other tasks at a fixed interval.
+      ahead = started + (index + 1) * token_interval - time.monotonic()
+      if ahead > 0.001 or index % YIELD_INTERVAL_TOKENS == 0:
         await asyncio.sleep(max(0.0, ahead))
-    self._keep(salt, prompt + len(words))
-    stream.add(_make_event({'delta': {}, 'finish_reason': 'stop'}, name))
+    self._cache_prefix(salt, prompt + len(words))
+    stream.add(_make_event({'delta': {}, 'finish_reason': 'stop'}, call_id))
     usage = {'prompt_tokens': prompt, 'completion_tokens': len(words)}
-    stream.add(_encode({'id': name, 'choices': [], 'usage': usage}))
+    stream.add(_encode({'id': call_id, 'choices': [], 'usage': usage}))
     stream.add(b'data: [DONE]\n\n')
 
   async def _send(
@@ -174,55 +181,58 @@
 
   # --- Cache ----------------------------------------------------------------
 
-  def _keep(self, salt: str, tokens: int) -> None:
-    self._cache[salt] = max(tokens, self._cache.pop(salt, 0))
-    self._note('stored', salt)
-    while sum(self._cache.values()) > self._cache_tokens:
-      evicted, _ = self._cache.popitem(last=False)
-      self._note('evicted', evicted)
+  def _cache_prefix(self, salt: str, tokens: int) -> None:
+    self._tokens_by_salt[salt] = max(tokens, self._tokens_by_salt.pop(salt, 0))
+    self._record_cache_event('stored', salt)
+    while sum(self._tokens_by_salt.values()) > self._cache_tokens:
+      evicted, _ = self._tokens_by_salt.popitem(last=False)
+      self._record_cache_event('evicted', evicted)
 
-  def _note(self, kind: str, salt: str) -> None:
-    self._events.append({'kind': kind, 'salt': salt, 'time': time.time()})
-    del self._events[:-EVENTS_KEPT]
+  def _record_cache_event(self, kind: str, salt: str) -> None:
+    self._cache_events.append({'kind': kind, 'salt': salt, 'time': time.time()})
+    del self._cache_events[:-MAX_RETAINED_CACHE_EVENTS]
 
   async def _get_cache(self, request: web.Request) -> web.Response:
     return base.make_json(
-      [{'salt': s, 'tokens': t} for s, t in self._cache.items()]
+      [{'salt': s, 'tokens': t} for s, t in self._tokens_by_salt.items()]
     )
 
   async def _get_cache_events(self, request: web.Request) -> web.Response:
-    # Late, and with gaps: only some of the last events are kept.
-    late = time.time() - self._report_lag
-    return base.make_json([e for e in self._events if e['time'] < late])
+    # Events are reported late and may be missed: only the latest ones are
+    # retained.
+    reported_until = time.time() - self._report_lag
+    return base.make_json(
+      [e for e in self._cache_events if e['time'] < reported_until]
+    )
 
   async def _drop_cache(self, request: web.Request) -> web.Response:
     message = await request.json()
     if self._is_stale(message):
       return web.Response(status=409)
-    if self._cache.pop(message['salt'], None) is not None:
-      self._note('dropped', message['salt'])
+    if self._tokens_by_salt.pop(message['salt'], None) is not None:
+      self._record_cache_event('dropped', message['salt'])
     return base.make_json({})
 
   async def _export_cache(self, request: web.Request) -> web.Response:
     message = await request.json()
-    tokens = self._cache.get(message['salt'], 0)
+    tokens = self._tokens_by_salt.get(message['salt'], 0)
     return base.make_json({'salt': message['salt'], 'tokens': tokens})
 
   async def _import_cache(self, request: web.Request) -> web.Response:
     message = await request.json()
-    self._keep(message['salt'], message['tokens'])
+    self._cache_prefix(message['salt'], message['tokens'])
     return base.make_json({})
 
   # --- Orders and load ------------------------------------------------------
 
   def _is_stale(self, message: dict[str, Any]) -> bool:
     number = int(message.get('fencing', 0))
-    if self._checks_fencing and number < self._fencing:
+    if self._checks_fencing and number < self._highest_fencing:
       return True
-    self._fencing = max(self._fencing, number)
+    self._highest_fencing = max(self._highest_fencing, number)
     return False
 
-  async def _order(self, request: web.Request) -> web.Response:
+  async def _accept_order(self, request: web.Request) -> web.Response:
     message = await request.json()
     if self._is_stale(message):
       return web.Response(status=409)
@@ -232,60 +242,63 @@
   async def _get_load(self, request: web.Request) -> web.Response:
     now = time.monotonic()
     if now - self._reported_at > self._report_lag:
-      self._report = {
-        'running': self._gate.running,
-        'waiting': self._gate.waiting,
-        'cached_tokens': sum(self._cache.values()),
+      self._load_report = {
+        'running': self._semaphore.running,
+        'waiting': self._semaphore.waiting,
+        'cached_tokens': sum(self._tokens_by_salt.values()),
       }
       self._reported_at = now
-    return base.make_json(self._report)
+    return base.make_json(self._load_report)
 
-  async def _set_slow(self, request: web.Request) -> web.Response:
-    self.slow = float((await request.json())['factor'])
+  async def _set_slowdown(self, request: web.Request) -> web.Response:
+    self.slowdown = float((await request.json())['factor'])
     return base.make_json({})
 
 
-class _PriorityGate:
-  """Lets a limited number of calls in, the highest priority first."""
+class _PrioritySemaphore:
+  """A semaphore whose waiters are served by priority.
+
+  The lowest number goes first, and within a number the first to wait.
+  """
 
   def __init__(self, slots: int) -> None:
-    self._free = slots
-    self._queue: asyncio.PriorityQueue[tuple[int, int, asyncio.Future]] = (
+    self._free_slots = slots
+    self._waiters: asyncio.PriorityQueue[tuple[int, int, asyncio.Future]] = (
       asyncio.PriorityQueue()
     )
-    self._number = 0
+    self._sequence_number = 0
     self.running = 0
 
   @property
   def waiting(self) -> int:
-    return self._queue.qsize()
+    return self._waiters.qsize()
 
-  async def enter(self, priority: int) -> None:
-    if self._free == 0:
+  async def acquire(self, priority: int) -> None:
+    if self._free_slots == 0:
       waiter = asyncio.get_running_loop().create_future()
-      self._number += 1
-      self._queue.put_nowait((priority, self._number, waiter))
+      self._sequence_number += 1
+      self._waiters.put_nowait((priority, self._sequence_number, waiter))
       await waiter
     else:
-      self._free -= 1
+      self._free_slots -= 1
     self.running += 1
 
-  def leave(self) -> None:
+  def release(self) -> None:
     self.running -= 1
-    if self._queue.empty():
-      self._free += 1
+    if self._waiters.empty():
+      self._free_slots += 1
     else:
-      self._queue.get_nowait()[2].set_result(None)
+      self._waiters.get_nowait()[2].set_result(None)
 
 
-def _make_words(text: str, most: int, body: dict[str, Any]) -> list[str]:
-  wished = int(body.get('woadrun_test_tokens') or min(most, 16))
+def _make_words(text: str, max_tokens: int, body: dict[str, Any]) -> list[str]:
+  requested = int(body.get('woadrun_test_tokens') or min(max_tokens, 16))
   seed = hashlib.blake2b(text.encode(), digest_size=4).hexdigest()
-  return [f'w{seed}{index} ' for index in range(min(most, wished))]
+  return [f'w{seed}{index} ' for index in range(min(max_tokens, requested))]
 
 
-def _make_event(choice: dict[str, Any], name: str) -> bytes:
-  return _encode({'id': name, 'choices': [{'index': 0, **choice}]})
+def _make_event(choice: dict[str, Any], call_id: str) -> bytes:
+  return _encode({'id': call_id, 'choices': [{'index': 0, **choice}]})
 
 
 def _encode(event: dict[str, Any]) -> bytes:
--- a/src/woadrun/standins/local.py
+++ b/src/woadrun/standins/local.py
@@ -1,6 +1,6 @@
-"""A small deployment on loopback: stand-ins and settings for daemons.
+"""A deployment on loopback: stand-ins, and settings for daemons.
 
-Used by the demo, the tests and our own measurements.
+The demo, the tests and the benchmarks use it.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Outside:
-  """The outside systems of a deployment, in this process."""
+  """The stand-ins for the external systems of a deployment."""
 
   platform: platform.Platform
   engines: list[engine.Engine]
   services: list[service.Service]
 
   async def stop(self) -> None:
-    """Closes all stand-ins."""
-    for part in (self.platform, *self.engines, *self.services):
-      await part.stop()
+    """Stops all stand-ins."""
+    for stand_in in (self.platform, *self.engines, *self.services):
+      await stand_in.stop()
 
 
 async def start_outside(
@@ -45,7 +45,7 @@
   checks_fencing: bool = True,
   forgets: bool = False,
 ) -> Outside:
-  """Returns running stand-ins for the outside systems."""
+  """Starts stand-ins for the external systems and returns them."""
   outside = Outside(
     platform=platform.Platform(),
     engines=[
@@ -58,13 +58,13 @@
     ],
     services=[service.Service(forgets=forgets) for _ in range(services)],
   )
-  for part in (outside.platform, *outside.engines, *outside.services):
-    await part.start()
+  for stand_in in (outside.platform, *outside.engines, *outside.services):
+    await stand_in.start()
   return outside
 
 
 def get_free_port(host: str = '127.0.0.1') -> int:
-  """Returns a port of loopback that the system just found free."""
+  """Returns a port that was free on `host` at the time of the call."""
   with socket.socket() as probe:
     probe.bind((host, 0))
     port: int = probe.getsockname()[1]
@@ -79,10 +79,10 @@
   domains: tuple[str, ...] = ('north',),
   **sections: dict[str, Any],
 ) -> dict[str, Any]:
-  """Returns a daemon's settings as the data of a TOML file.
+  """Returns the settings of a daemon, as decoded from a TOML file.
 
-  Upstreams are spread over the domains in turn; `sections` replace or
-  add keys of a section.
+  Upstreams are assigned to `domains` round-robin.  The keys in `sections`
+  override or extend the sections of the same name.
   """
   url = outside.platform.url
   data: dict[str, Any] = {
@@ -101,20 +101,20 @@
     'engines': [
       {
         'name': f'engine-{index}',
-        'url': part.url,
+        'url': engine_stand_in.url,
         'domain': domains[index % len(domains)],
         'models': [MODEL],
       }
-      for index, part in enumerate(outside.engines)
+      for index, engine_stand_in in enumerate(outside.engines)
     ],
     'services': [
       {
         'name': f'service-{index}',
-        'url': part.url,
+        'url': service_stand_in.url,
         'domain': domains[index % len(domains)],
         'timeout': 5.0,
       }
-      for index, part in enumerate(outside.services)
+      for index, service_stand_in in enumerate(outside.services)
     ],
   }
   for name, section in sections.items():
@@ -123,7 +123,7 @@
 
 
 def check(data: dict[str, Any]) -> settings.Settings:
-  """Returns checked settings from their data."""
+  """Returns validated settings from the data of a TOML file."""
   return settings.check(data, file='(local)')
 
 
@@ -133,8 +133,11 @@
   domain_by_address: dict[str, str],
   leaving: frozenset[str] = frozenset(),
 ) -> None:
-  """Sets the platform's list of VMs."""
-  listed = [
+  """Replaces the platform's list of VMs.
+
+  VMs whose address is in `leaving` are listed as leaving, all others as live.
+  """
+  vms = [
     {
       'address': address,
       'domain': domain,
@@ -142,5 +145,5 @@
     }
     for address, domain in domain_by_address.items()
   ]
-  async with session.put(f'{outside.platform.url}/vms', json=listed):
+  async with session.put(f'{outside.platform.url}/vms', json=vms):
     pass
--- a/src/woadrun/standins/platform.py
+++ b/src/woadrun/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform: table service, object store, VMs, weights."""
+"""A stand-in for the platform: row tables, objects, VMs, model weights."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class Platform(base.StandIn):
-  """Table service, object store and list of VMs behind one listener.
+  """Table service, object store, list of VMs and weight store on one port.
 
   Rows have entity tags and conditional writes (RFC 9110, section 13).
   """
 
   def __init__(self) -> None:
     super().__init__()
-    self._rows: dict[str, dict[str, tuple[int, bytes]]] = {}
-    self._keys: dict[str, list[str]] = {}
+    self._rows_by_table: dict[str, dict[str, tuple[int, bytes]]] = {}
+    self._sorted_keys_by_table: dict[str, list[str]] = {}
     self._objects: dict[str, bytes] = {}
     self._vms: list[dict[str, str]] = []
-    self._weights_gate = asyncio.Semaphore(2)
+    self._weights_semaphore = asyncio.Semaphore(2)
     self.table_writes = 0
 
   def get_routes(self) -> Iterable[web.RouteDef]:
-    """Returns the routes of the platform."""
+    """Returns the routes of the platform's interface."""
     return [
       web.get('/tables/{table}/rows', self._list_rows),
       web.get('/tables/{table}/rows/{key}', self._get_row),
@@ -44,17 +44,17 @@
 
   async def _list_rows(self, request: web.Request) -> web.Response:
     table = request.match_info['table']
-    keys = self._keys.get(table, [])
+    keys = self._sorted_keys_by_table.get(table, [])
     first = bisect.bisect_right(keys, request.query.get('after', ''))
-    chosen = keys[first : first + int(request.query.get('limit', '100'))]
-    rows = self._rows.get(table, {})
+    page = keys[first : first + int(request.query.get('limit', '100'))]
+    rows = self._rows_by_table.get(table, {})
     return base.make_json(
-      [{'key': k, 'value': rows[k][1].decode()} for k in chosen]
+      [{'key': k, 'value': rows[k][1].decode()} for k in page]
     )
 
   async def _get_row(self, request: web.Request) -> web.Response:
     table, key = request.match_info['table'], request.match_info['key']
-    found = self._rows.get(table, {}).get(key)
+    found = self._rows_by_table.get(table, {}).get(key)
     if found is None:
       return web.Response(status=404)
     return web.Response(body=found[1], headers={'ETag': f'"{found[0]}"'})
@@ -62,15 +62,17 @@
   async def _put_row(self, request: web.Request) -> web.Response:
     table, key = request.match_info['table'], request.match_info['key']
     value = await request.read()
-    rows = self._rows.setdefault(table, {})
+    rows = self._rows_by_table.setdefault(table, {})
     found = rows.get(key)
     tag = f'"{found[0]}"' if found else None
-    wanted = request.headers.get('If-Match')
-    is_new = request.headers.get('If-None-Match') == '*'
-    if (is_new and found) or (not is_new and (tag is None or wanted != tag)):
+    required_tag = request.headers.get('If-Match')
+    must_not_exist = request.headers.get('If-None-Match') == '*'
+    if (must_not_exist and found) or (
+      not must_not_exist and (tag is None or required_tag != tag)
+    ):
       return web.Response(status=412)
     if found is None:
-      bisect.insort(self._keys.setdefault(table, []), key)
+      bisect.insort(self._sorted_keys_by_table.setdefault(table, []), key)
     version = found[0] + 1 if found else 1
     rows[key] = (version, value)
     self.table_writes += 1
@@ -106,9 +108,9 @@
     return web.Response(status=204)
 
   async def _get_weights(self, request: web.Request) -> web.Response:
-    if self._weights_gate.locked():
+    if self._weights_semaphore.locked():
       return web.Response(status=429)
-    async with self._weights_gate:
+    async with self._weights_semaphore:
       await asyncio.sleep(0.5)
       return web.Response(body=request.match_info['model'].encode())
 
--- a/src/woadrun/standins/rows.py
+++ b/src/woadrun/standins/rows.py
@@ -1,4 +1,4 @@
-"""A row store in memory, which can be out, lose answers and forget."""
+"""An in-memory row store with injected faults."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 class MemoryRows:
-  """Implements `rows.RowStore` for tests and trials.
+  """Implements `rows.RowStore` in memory.
 
-  `is_out` refuses all calls; `loses_answers` does writes but does not
-  answer them; `delay` holds writes up, in seconds; `history_from` is the
-  oldest version that is still known.
+  Faults are injected by attributes.  With `is_out` all calls fail without an
+  effect.  With `loses_answers` writes are applied, but then fail with an
+  unknown outcome.  `delay` delays writes by some seconds.  `history_from` is
+  the oldest version after which changes are still retained.
   """
 
   def __init__(self) -> None:
@@ -28,7 +29,7 @@
     self.writes = 0
     self.reads = 0
     self._history: list[rows.Row] = []
-    self._changed = asyncio.Event()
+    self._change_event = asyncio.Event()
 
   async def change(
     self,
@@ -37,17 +38,20 @@
     removes: Sequence[rows.Key] = (),
     conditions: Sequence[tuple[rows.Key, int]] = (),
   ) -> rows.Outcome:
-    """Returns what became of an all-or-nothing change of one part."""
-    self._check()
+    """Applies a change of one part atomically and returns its outcome.
+
+    Nothing is changed unless all rows in `conditions` have the given versions.
+    """
+    self._raise_if_out()
     await asyncio.sleep(self.delay)
     self.writes += 1
-    current = [self._get(key) for key, _ in conditions]
-    wanted = [version for _, version in conditions]
-    if [row.version for row in current] != wanted:
+    current_rows = [self._get(key) for key, _ in conditions]
+    required_versions = [version for _, version in conditions]
+    if [row.version for row in current_rows] != required_versions:
       return rows.Outcome(
         is_done=False,
         version=self.version,
-        rows=tuple(current),
+        rows=tuple(current_rows),
         clock=time.monotonic(),
       )
     self.version += 1
@@ -60,10 +64,10 @@
         self._history.append(
           rows.Row(key=key, version=self.version, is_removed=True)
         )
-    self._changed.set()
-    self._changed = asyncio.Event()
+    self._change_event.set()
+    self._change_event = asyncio.Event()
     if self.loses_answers:
-      raise _unavailable(errors.Ran.UNKNOWN)
+      raise _make_unavailable_error(errors.Ran.UNKNOWN)
     return rows.Outcome(
       is_done=True, version=self.version, clock=time.monotonic()
     )
@@ -71,8 +75,11 @@
   async def read(
     self, table: str, part: str, *, first: str = '', end: str = ''
   ) -> rows.Page:
-    """Returns the rows with names from `first` up to, without, `end`."""
-    self._check()
+    """Returns the rows of a part with `first` <= name < `end`.
+
+    An empty `end` sets no upper bound.
+    """
+    self._raise_if_out()
     self.reads += 1
     found = [
       row
@@ -84,18 +91,22 @@
     return self._make_page(found)
 
   async def follow(self, table: str, *, after: int, wait: float) -> rows.Page:
-    """Returns the changes after a version, as soon as there are any."""
-    self._check()
+    """Waits for changes after a version and returns them.
+
+    The page is empty if there are none within `wait` seconds.  Raises
+    `HistoryGone` where the changes are no longer retained.
+    """
+    self._raise_if_out()
     if after < self.history_from:
       raise rows.HistoryGone(table)
     found = self._find_changes(table, after)
     if not found:
-      changed = self._changed
+      changed = self._change_event
       try:
         await asyncio.wait_for(changed.wait(), wait)
       except TimeoutError:
         return self._make_page([])
-      self._check()
+      self._raise_if_out()
       found = self._find_changes(table, after)
     return self._make_page(found)
 
@@ -105,12 +116,12 @@
     )
 
   def wake_followers(self) -> None:
-    """Wakes all that follow, so that they notice what is different."""
-    self._changed.set()
-    self._changed = asyncio.Event()
+    """Wakes all waiting `follow` calls, for example after a fault was set."""
+    self._change_event.set()
+    self._change_event = asyncio.Event()
 
   def remove_in_outage(self, key: rows.Key) -> None:
-    """Removes a row while the store answers nobody."""
+    """Removes a row even if `is_out` is set, without waking `follow` calls."""
     self.version += 1
     del self.row_by_key[key]
     self._history.append(
@@ -127,12 +138,12 @@
   def _get(self, key: rows.Key) -> rows.Row:
     return self.row_by_key.get(key) or rows.Row(key=key)
 
-  def _check(self) -> None:
+  def _raise_if_out(self) -> None:
     if self.is_out:
-      raise _unavailable(errors.Ran.NOT_RUN)
+      raise _make_unavailable_error(errors.Ran.NOT_RUN)
 
 
-def _unavailable(ran: errors.Ran) -> errors.WoadrunError:
+def _make_unavailable_error(ran: errors.Ran) -> errors.WoadrunError:
   return errors.WoadrunError(
-    errors.Code.PLATFORM_UNAVAILABLE, 'The store is out.', ran=ran
+    errors.Code.PLATFORM_UNAVAILABLE, 'The store is unavailable.', ran=ran
   )
--- a/src/woadrun/standins/service.py
+++ b/src/woadrun/standins/service.py
@@ -1,7 +1,8 @@
-"""A stand-in for a plain service that counts what it ran, by caller's id.
+"""A stand-in for a service, which counts its runs of each request.
 
-Actions named `hang` never answer.  With `--forgets` it cannot be asked
-what became of a request.
+Requests are identified by their idempotency key.  Actions named `hang`
+answer after `HANG_DELAY_SECONDS`, longer than any client waits.  With `forgets`
+the service reports no outcome of an earlier request.
 """
 
 from __future__ import annotations
@@ -13,21 +14,24 @@
 
 from woadrun.standins import base
 
-HANG_SECONDS = 3600.0
+HANG_DELAY_SECONDS = 3600.0
 
 
 class Service(base.StandIn):
-  """A service that runs each call it gets, also doubled ones."""
+  """A service that does not deduplicate: it runs a repeated call again.
+
+  `runs_by_id` counts the runs by idempotency key.
+  """
 
   def __init__(self, *, seconds: float = 0.002, forgets: bool = False) -> None:
     super().__init__()
     self.runs_by_id: dict[str, int] = {}
     self.seconds = seconds
     self._forgets = forgets
-    self._answer_by_id: dict[str, bytes] = {}
+    self._response_by_id: dict[str, bytes] = {}
 
   def get_routes(self) -> Iterable[web.RouteDef]:
-    """Returns the routes of the service."""
+    """Returns the routes of the service's interface."""
     return [
       web.post('/actions/{action}', self._run),
       web.get('/outcomes/{id}', self._get_outcome),
@@ -35,24 +39,24 @@
     ]
 
   async def _run(self, request: web.Request) -> web.Response:
-    name = request.headers.get('Idempotency-Key', '')
+    request_id = request.headers.get('Idempotency-Key', '')
     body = await request.read()
-    self.runs_by_id[name] = self.runs_by_id.get(name, 0) + 1
+    self.runs_by_id[request_id] = self.runs_by_id.get(request_id, 0) + 1
     if request.match_info['action'] == 'hang':
-      await asyncio.sleep(HANG_SECONDS)
+      await asyncio.sleep(HANG_DELAY_SECONDS)
     await asyncio.sleep(self.seconds)
     data = {
       'action': request.match_info['action'],
-      'runs': self.runs_by_id[name],
+      'runs': self.runs_by_id[request_id],
       'size': len(body),
     }
     response = base.make_json(data)
     if isinstance(response.body, bytes):
-      self._answer_by_id[name] = response.body
+      self._response_by_id[request_id] = response.body
     return response
 
   async def _get_outcome(self, request: web.Request) -> web.Response:
-    found = self._answer_by_id.get(request.match_info['id'])
+    found = self._response_by_id.get(request.match_info['id'])
     if found is None or self._forgets:
       return web.Response(status=404)
     return web.Response(body=found, content_type='application/json')
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -57,7 +57,7 @@
     'speed = 3\n[security]\npeer_key = "short"\n[limits]\nprograms = 0\n'
     '[[engines]]\nname = "e"\nurl = "http://e"\ndomain = "north"\nslots = 0\n'
   )
-  assert app.run(['config', 'check', str(path)]) == app.Exit.USAGE
+  assert app.run(['config', 'check', str(path)]) == app.ExitCode.USAGE
   printed = capsys.readouterr().err
   for key in (
     'daemon.address', 'daemon.region_domains', 'platform.table',
@@ -65,7 +65,7 @@
     'engines.0.slots', 'engines.0.models',
   ):  # fmt: skip
     assert f'{path}: {key}: ' in printed
-  assert app.run(['serve', '--config', str(path)]) == app.Exit.USAGE
+  assert app.run(['serve', '--config', str(path)]) == app.ExitCode.USAGE
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
   path = tmp_path / 'x.toml'
   if text is not None:
     path.write_text(text)
-  assert app.run(['config', 'check', str(path)]) == app.Exit.USAGE
+  assert app.run(['config', 'check', str(path)]) == app.ExitCode.USAGE
   assert f'{path}: {key}: ' in capsys.readouterr().err
 
 
@@ -88,16 +88,18 @@
 
 
 def test_exit_codes(capsys):
-  assert app.run(['no-such-command']) == app.Exit.USAGE
+  assert app.run(['no-such-command']) == app.ExitCode.USAGE
   nobody = ['--address', '127.0.0.1:1', '--token', 'nobodys-token']
-  assert app.run(['dump', *nobody]) == app.Exit.UNREACHABLE
+  assert app.run(['dump', *nobody]) == app.ExitCode.UNREACHABLE
   assert 'No answer' in capsys.readouterr().err
-  assert app.run(['table', 'edit', 'no-file', *nobody]) == app.Exit.UNREACHABLE
+  assert (
+    app.run(['table', 'edit', 'no-file', *nobody]) == app.ExitCode.UNREACHABLE
+  )
 
 
 def test_demo_serves_all_programs(capsys):
   arguments = ['demo', '--daemons', '2', '--programs', '3', '--json']
-  assert app.run(arguments) == app.Exit.OK
+  assert app.run(arguments) == app.ExitCode.OK
   seconds = json.loads(capsys.readouterr().out)
   assert {len(s) for s in seconds.values()} == {3} and len(seconds) == 3
 
@@ -133,16 +135,18 @@
     new = tmp_path / 'new.csv'
     new.write_text(shown.replace('riders,4.0', 'riders,8.0'))
     assert app.run(['table', 'edit', str(new), '--base', str(base)]) == 0
-    assert app.run(['table', 'set', 'riders', 'weight=-4']) == app.Exit.USAGE
+    assert (
+      app.run(['table', 'set', 'riders', 'weight=-4']) == app.ExitCode.USAGE
+    )
     other = tmp_path / 'other.csv'
     other.write_text(shown.replace('riders,4.0', 'riders,9.0'))
     code = app.run(['table', 'edit', str(other), '--base', str(base)])
-    assert code == app.Exit.REFUSED
+    assert code == app.ExitCode.REFUSED
     assert 'table_conflict (riders)' in capsys.readouterr().err
     assert app.run(['table', 'history']) == 0
     assert app.run(['table', 'status']) == 0
     assert app.run(['table', 'get', 'riders']) == 0
-    assert app.run(['table', 'get', 'nobody']) == app.Exit.REFUSED
+    assert app.run(['table', 'get', 'nobody']) == app.ExitCode.REFUSED
     assert app.run(['top', '--rounds', '1']) == 0
     out = capsys.readouterr().out
     assert 'weight          8.0' in out and daemon_info['address'].split(':')[0]
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -90,7 +90,7 @@
     '',
     '## Exit codes',
     '',
-    *(f'- {code.value}: {code.name.lower()}' for code in app.Exit),
+    *(f'- {code.value}: {code.name.lower()}' for code in app.ExitCode),
     '',
     '## Metrics',
     '',
