--- a/src/woadrun/cli/app.py
+++ b/src/woadrun/cli/app.py
@@ -75,7 +75,7 @@
     return ExitCode.REFUSED
   except (aiohttp.ClientError, TimeoutError, OSError) as error:
     print(
-      f'No answer from the daemon: {error or type(error).__name__}',
+      f'No answer: {error or type(error).__name__}',
       file=sys.stderr,
     )
     return ExitCode.UNREACHABLE
--- a/src/woadrun/cli/look.py
+++ b/src/woadrun/cli/look.py
@@ -15,10 +15,10 @@
 
 def dump(*, access: operator.Access) -> None:
   """Prints the whole state of one daemon as JSON, grouped by role."""
-  found = operator.run_with_client(
+  state = operator.run_with_client(
     access, lambda c: c.ask('GET', '/operate/dump')
   )
-  data = msgspec.json.encode(found)
+  data = msgspec.json.encode(state)
   print(data.decode() if access.json else msgspec.json.format(data).decode())
 
 
@@ -67,11 +67,11 @@
   lines: list[list[object]] = [
     ['daemon', 'slots', 'programs', 'running', 'finished', 'refused', 'table']
   ]
-  for address, found in dumps.items():
-    if found is None:
+  for address, state in dumps.items():
+    if state is None:
       lines.append([address, 'no answer', '', '', '', '', ''])
       continue
-    owner, owned = found['owner'], found['owner']['slots']['owned']
+    owner, owned = state['owner'], state['owner']['slots']['owned']
     programs = sum(slot['programs'] for slot in owned.values())
     lines.append(
       [
@@ -81,7 +81,7 @@
         len(owner['running']),
         owner['finished'],
         owner['refused'],
-        found['configuration']['version'],
+        state['configuration']['version'],
       ]
     )
   operator.print_columns(lines)
@@ -91,8 +91,8 @@
   lines: list[list[object]] = [
     ['upstream', 'queue at', 'running', 'waiting', 'slots', 'seconds']
   ]
-  for address, found in dumps.items():
-    queues = found['dispatcher']['queues'] if found else {}
+  for address, state in dumps.items():
+    queues = state['dispatcher']['queues'] if state else {}
     for name, queue in sorted(queues.items()):
       if queue['keeper'] == address:
         lines.append(
--- a/src/woadrun/standins/platform.py
+++ b/src/woadrun/standins/platform.py
@@ -54,30 +54,30 @@
 
   async def _get_row(self, request: web.Request) -> web.Response:
     table, key = request.match_info['table'], request.match_info['key']
-    found = self._rows_by_table.get(table, {}).get(key)
-    if found is None:
+    stored = self._rows_by_table.get(table, {}).get(key)
+    if stored is None:
       return web.Response(status=404)
-    return web.Response(body=found[1], headers={'ETag': f'"{found[0]}"'})
+    return web.Response(body=stored[1], headers={'ETag': f'"{stored[0]}"'})
 
   async def _put_row(self, request: web.Request) -> web.Response:
     table, key = request.match_info['table'], request.match_info['key']
     value = await request.read()
     rows = self._rows_by_table.setdefault(table, {})
-    found = rows.get(key)
-    tag = f'"{found[0]}"' if found else None
+    stored = rows.get(key)
+    tag = f'"{stored[0]}"' if stored else None
     required_tag = request.headers.get('If-Match')
     must_not_exist = request.headers.get('If-None-Match') == '*'
-    if (must_not_exist and found) or (
+    if (must_not_exist and stored) or (
       not must_not_exist and (tag is None or required_tag != tag)
     ):
       return web.Response(status=412)
-    if found is None:
+    if stored is None:
       bisect.insort(self._sorted_keys_by_table.setdefault(table, []), key)
-    version = found[0] + 1 if found else 1
+    version = stored[0] + 1 if stored else 1
     rows[key] = (version, value)
     self.table_writes += 1
     return web.Response(
-      status=200 if found else 201, headers={'ETag': f'"{version}"'}
+      status=200 if stored else 201, headers={'ETag': f'"{version}"'}
     )
 
   async def _list_objects(self, request: web.Request) -> web.Response:
@@ -87,10 +87,10 @@
     )
 
   async def _get_object(self, request: web.Request) -> web.Response:
-    found = self._objects.get(request.match_info['key'])
-    if found is None:
+    stored = self._objects.get(request.match_info['key'])
+    if stored is None:
       return web.Response(status=404)
-    return web.Response(body=found)
+    return web.Response(body=stored)
 
   async def _put_object(self, request: web.Request) -> web.Response:
     self._objects[request.match_info['key']] = await request.read()
--- a/src/woadrun/standins/rows.py
+++ b/src/woadrun/standins/rows.py
@@ -81,14 +81,14 @@
     """
     self._raise_if_out()
     self.reads += 1
-    found = [
+    matching_rows = [
       row
       for key, row in sorted(self.row_by_key.items())
       if (key.table, key.part) == (table, part)
       and key.name >= first
       and (not end or key.name < end)
     ]
-    return self._make_page(found)
+    return self._make_page(matching_rows)
 
   async def follow(self, table: str, *, after: int, wait: float) -> rows.Page:
     """Waits for changes after a version and returns them.
@@ -99,20 +99,20 @@
     self._raise_if_out()
     if after < self.history_from:
       raise rows.HistoryGone(table)
-    found = self._find_changes(table, after)
-    if not found:
+    matching_rows = self._find_changes(table, after)
+    if not matching_rows:
       changed = self._change_event
       try:
         await asyncio.wait_for(changed.wait(), wait)
       except TimeoutError:
         return self._make_page([])
       self._raise_if_out()
-      found = self._find_changes(table, after)
-    return self._make_page(found)
+      matching_rows = self._find_changes(table, after)
+    return self._make_page(matching_rows)
 
-  def _make_page(self, found: Sequence[rows.Row]) -> rows.Page:
+  def _make_page(self, matching_rows: Sequence[rows.Row]) -> rows.Page:
     return rows.Page(
-      rows=tuple(found), version=self.version, clock=time.monotonic()
+      rows=tuple(matching_rows), version=self.version, clock=time.monotonic()
     )
 
   def wake_followers(self) -> None:
--- a/src/woadrun/standins/service.py
+++ b/src/woadrun/standins/service.py
@@ -56,10 +56,10 @@
     return response
 
   async def _get_outcome(self, request: web.Request) -> web.Response:
-    found = self._response_by_id.get(request.match_info['id'])
-    if found is None or self._forgets:
+    response_body = self._response_by_id.get(request.match_info['id'])
+    if response_body is None or self._forgets:
       return web.Response(status=404)
-    return web.Response(body=found, content_type='application/json')
+    return web.Response(body=response_body, content_type='application/json')
 
   async def _get_runs(self, request: web.Request) -> web.Response:
     return base.make_json(self.runs_by_id)
