--- a/src/woadrun/cli/app.py
+++ b/src/woadrun/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: its root, its exit codes and how errors are shown."""
+"""Entry point of the command line, its exit codes and error output."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from woadrun.cli import timeline
 
 
-class Exit(enum.IntEnum):
+class ExitCode(enum.IntEnum):
   """The exit codes of all commands."""
 
   OK = 0
@@ -34,8 +34,8 @@
 app = cyclopts.App(
   name='woadrun',
   help='A scheduler for agent programs.\n\n'
-  'Exit codes: 0 done, 1 refused or failed, 2 wrong settings or usage, '
-  '3 no daemon reached, 130 interrupted.',
+  'Exit codes: 0 success, 1 request refused or failed, 2 invalid settings or '
+  'usage, 3 no daemon reachable, 130 interrupted.',
   version=woadrun.__version__,
 )
 app.command(serve.serve)
@@ -52,29 +52,35 @@
 
 
 def main() -> None:
-  """Runs the command line and exits with its code."""
+  """Runs the command in `sys.argv` and exits with its exit code."""
   sys.exit(run(sys.argv[1:]))
 
 
 def run(arguments: list[str]) -> int:
-  """Returns the exit code of one command."""
+  """Runs one command and returns its exit code.
+
+  Errors of the command are printed to the standard error stream.
+  """
   try:
     result = app(arguments, exit_on_error=False, result_action='return_value')
-    return result if isinstance(result, int) else Exit.OK
+    return result if isinstance(result, int) else ExitCode.OK
   except cyclopts.CycloptsError:
-    # cyclopts has told it already.
-    return Exit.USAGE
+    # cyclopts has already printed the error.
+    return ExitCode.USAGE
   except errors.FindingsError as error:
     print(error, file=sys.stderr)
-    return Exit.USAGE
+    return ExitCode.USAGE
   except errors.WoadrunError as error:
     _print_error(error)
-    return Exit.REFUSED
+    return ExitCode.REFUSED
   except (aiohttp.ClientError, TimeoutError, OSError) as error:
-    print(f'No answer: {error or type(error).__name__}', file=sys.stderr)
-    return Exit.UNREACHABLE
+    print(
+      f'No answer: {error or type(error).__name__}',
+      file=sys.stderr,
+    )
+    return ExitCode.UNREACHABLE
   except KeyboardInterrupt:
-    return Exit.INTERRUPTED
+    return ExitCode.INTERRUPTED
 
 
 def _print_error(error: errors.WoadrunError) -> None:
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""The command line, settings, examples and pages."""
+"""Tests of the command line, settings, examples and documentation."""
 
 import importlib.util
 import json
@@ -37,19 +37,19 @@
   assert {k.row for k in experiment.kinds} <= set(table)
 
 
-def test_the_reference_is_what_the_code_says():
+def test_reference_matches_code():
   expected = load_tool('reference').make_reference()
   assert (ROOT / 'docs' / 'reference.md').read_text() == expected
 
 
-def test_links_between_pages_lead_somewhere():
+def test_links_between_pages_resolve():
   pages = [ROOT / 'README.md', *(ROOT / 'docs').rglob('*.md')]
   for page in pages:
     for target in re.findall(r'\]\(([^)#:]+)\)', page.read_text()):
       assert (page.parent / target).exists(), f'{page}: {target}'
 
 
-def test_all_faults_of_settings_are_told_at_once(tmp_path, capsys):
+def test_all_errors_in_settings_are_reported_together(tmp_path, capsys):
   path = tmp_path / 'bad.toml'
   path.write_text(
     '[daemon]\naddress = "here:80"\ndomain = "north"\nregion_domains = []\n'
@@ -57,29 +57,29 @@
     'speed = 3\n[security]\npeer_key = "short"\n[limits]\nprograms = 0\n'
     '[[engines]]\nname = "e"\nurl = "http://e"\ndomain = "north"\nslots = 0\n'
   )
-  assert app.run(['config', 'check', str(path)]) == app.Exit.USAGE
-  told = capsys.readouterr().err
+  assert app.run(['config', 'check', str(path)]) == app.ExitCode.USAGE
+  printed = capsys.readouterr().err
   for key in (
     'daemon.address', 'daemon.region_domains', 'platform.table',
     'platform.speed', 'security.peer_key', 'limits.programs',
     'engines.0.slots', 'engines.0.models',
   ):  # fmt: skip
-    assert f'{path}: {key}: ' in told
-  assert app.run(['serve', '--config', str(path)]) == app.Exit.USAGE
+    assert f'{path}: {key}: ' in printed
+  assert app.run(['serve', '--config', str(path)]) == app.ExitCode.USAGE
 
 
 @pytest.mark.parametrize(
   ('text', 'key'), [(None, '(file)'), ('[daemon', '(syntax)')]
 )
-def test_settings_that_cannot_be_read(tmp_path, capsys, text, key):
+def test_unreadable_settings_are_reported(tmp_path, capsys, text, key):
   path = tmp_path / 'x.toml'
   if text is not None:
     path.write_text(text)
-  assert app.run(['config', 'check', str(path)]) == app.Exit.USAGE
+  assert app.run(['config', 'check', str(path)]) == app.ExitCode.USAGE
   assert f'{path}: {key}: ' in capsys.readouterr().err
 
 
-def test_faults_of_a_spreadsheet_are_told_with_their_lines():
+def test_errors_in_a_csv_file_are_reported_with_line_numbers():
   text = 'key,weight\nriders,4\ncrews,-1\n,2\nriders,1\n'
   with pytest.raises(errors.FindingsError) as caught:
     rows.from_csv(text, file='t.csv')
@@ -88,21 +88,23 @@
 
 
 def test_exit_codes(capsys):
-  assert app.run(['no-such-command']) == app.Exit.USAGE
+  assert app.run(['no-such-command']) == app.ExitCode.USAGE
   nobody = ['--address', '127.0.0.1:1', '--token', 'nobodys-token']
-  assert app.run(['dump', *nobody]) == app.Exit.UNREACHABLE
+  assert app.run(['dump', *nobody]) == app.ExitCode.UNREACHABLE
   assert 'No answer' in capsys.readouterr().err
-  assert app.run(['table', 'edit', 'no-file', *nobody]) == app.Exit.UNREACHABLE
+  assert (
+    app.run(['table', 'edit', 'no-file', *nobody]) == app.ExitCode.UNREACHABLE
+  )
 
 
-def test_the_demo_serves_all_programs(capsys):
+def test_demo_serves_all_programs(capsys):
   arguments = ['demo', '--daemons', '2', '--programs', '3', '--json']
-  assert app.run(arguments) == app.Exit.OK
+  assert app.run(arguments) == app.ExitCode.OK
   seconds = json.loads(capsys.readouterr().out)
   assert {len(s) for s in seconds.values()} == {3} and len(seconds) == 3
 
 
-def test_tables_by_command(capsys, tmp_path, monkeypatch):
+def test_table_commands(capsys, tmp_path, monkeypatch):
   """Show, set, edit, history and status against a running daemon."""
   import asyncio
   import threading
@@ -110,11 +112,11 @@
   import fleet as fleets
 
   started, stop = threading.Event(), threading.Event()
-  where = {}
+  daemon_info = {}
 
   async def serve():
     async with fleets.make_fleet(tmp_path, 'n') as fleet:
-      where['address'] = fleet.nodes[0].listen
+      daemon_info['address'] = fleet.nodes[0].listen
       started.set()
       await asyncio.to_thread(stop.wait)
 
@@ -122,7 +124,7 @@
   thread.start()
   try:
     assert started.wait(60)
-    monkeypatch.setenv('WOADRUN_ADDRESS', where['address'])
+    monkeypatch.setenv('WOADRUN_ADDRESS', daemon_info['address'])
     monkeypatch.setenv('WOADRUN_TOKEN', fleets.local.OPERATOR_TOKEN)
     assert app.run(['table', 'set', 'riders', 'weight=4']) == 0
     assert app.run(['table', 'show']) == 0
@@ -133,19 +135,21 @@
     new = tmp_path / 'new.csv'
     new.write_text(shown.replace('riders,4.0', 'riders,8.0'))
     assert app.run(['table', 'edit', str(new), '--base', str(base)]) == 0
-    assert app.run(['table', 'set', 'riders', 'weight=-4']) == app.Exit.USAGE
+    assert (
+      app.run(['table', 'set', 'riders', 'weight=-4']) == app.ExitCode.USAGE
+    )
     other = tmp_path / 'other.csv'
     other.write_text(shown.replace('riders,4.0', 'riders,9.0'))
     code = app.run(['table', 'edit', str(other), '--base', str(base)])
-    assert code == app.Exit.REFUSED
+    assert code == app.ExitCode.REFUSED
     assert 'table_conflict (riders)' in capsys.readouterr().err
     assert app.run(['table', 'history']) == 0
     assert app.run(['table', 'status']) == 0
     assert app.run(['table', 'get', 'riders']) == 0
-    assert app.run(['table', 'get', 'nobody']) == app.Exit.REFUSED
+    assert app.run(['table', 'get', 'nobody']) == app.ExitCode.REFUSED
     assert app.run(['top', '--rounds', '1']) == 0
     out = capsys.readouterr().out
-    assert 'weight          8.0' in out and where['address'].split(':')[0]
+    assert 'weight          8.0' in out and daemon_info['address'].split(':')[0]
     assert app.run(['dump', '--json']) == 0
     assert json.loads(capsys.readouterr().out)['configuration']['version'] == 3
   finally:
@@ -153,5 +157,5 @@
     thread.join(30)
 
 
-def test_python_is_new_enough():
+def test_python_version_is_supported():
   assert sys.version_info >= (3, 11)
