--- a/bench/faults/__init__.py
+++ b/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded machine that breaks a fleet of daemons on a virtual clock."""
+"""Seeded fault injection into a fleet of daemons on a virtual clock."""
--- a/bench/faults/__main__.py
+++ b/bench/faults/__main__.py
@@ -1,4 +1,4 @@
-"""Runs schedules of faults by seed, and shows the shortest that fails."""
+"""Runs fault schedules by seed and prints the shortest one that fails."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 
 from faults import schedule
 
-# How many daemons a schedule has, and in how many failure domains.
+# Default numbers of daemons and of failure domains in a schedule.
 DAEMONS, DOMAINS = 6, 3
-# Between two lines that tell how far a run is.
-TELL_SECONDS = 10.0
+PROGRESS_INTERVAL_SECONDS = 10.0
 
 
 def main() -> int:
-  """Returns 1 where a schedule broke a promise."""
+  """Returns 1 if a schedule violated an invariant, 0 otherwise."""
   options = _parse()
   logging.getLogger('woadrun').setLevel(
     logging.INFO if options.log else logging.CRITICAL
   )
   if options.log:
     logging.basicConfig(format='%(name)s %(message)s')
-  began = time.perf_counter()
+  started_at = time.perf_counter()
   failed = 0
-  told_at = began
+  reported_at = started_at
   for number in range(options.schedules):
-    if time.perf_counter() - told_at > TELL_SECONDS:
-      told_at = time.perf_counter()
-      _tell(f'{number} of {options.schedules} schedules: {failed} failed')
+    if time.perf_counter() - reported_at > PROGRESS_INTERVAL_SECONDS:
+      reported_at = time.perf_counter()
+      _print_progress(
+        f'{number} of {options.schedules} schedules: {failed} failed'
+      )
     seed = options.seed + number
     drawn = schedule.draw(
       seed,
@@ -37,9 +38,9 @@
       domains=options.domains,
       kinds=options.kinds,
     )
-    failed += _run(drawn, is_short=options.short)
-  took = time.perf_counter() - began
-  print(f'{options.schedules} schedules in {took:.1f} s: {failed} failed')
+    failed += _run(drawn, is_shrunk=options.short)
+  elapsed = time.perf_counter() - started_at
+  print(f'{options.schedules} schedules in {elapsed:.1f} s: {failed} failed')
   return 1 if failed else 0
 
 
@@ -66,26 +67,26 @@
   return parser.parse_args()
 
 
-def _tell(line: str) -> None:
+def _print_progress(line: str) -> None:
   print(line, file=sys.stderr, flush=True)
 
 
-def _run(drawn: schedule.Schedule, *, is_short: bool) -> bool:
-  found = schedule.play(drawn)
-  if not found.broken:
+def _run(drawn: schedule.Schedule, *, is_shrunk: bool) -> bool:
+  result = schedule.run(drawn)
+  if not result.violations:
     return False
-  print(f'seed {drawn.seed}: {found.broken[0]}', flush=True)
-  if is_short:
-    kind = found.broken[0].partition(':')[0]
-    drawn = schedule.shorten(drawn, lambda item: _breaks(item, kind))
+  print(f'seed {drawn.seed}: {result.violations[0]}', flush=True)
+  if is_shrunk:
+    kind = result.violations[0].partition(':')[0]
+    drawn = schedule.shrink(drawn, lambda item: _violates(item, kind))
   for fault in drawn.faults:
     print(f'  {fault}', flush=True)
   return True
 
 
-def _breaks(item: schedule.Schedule, kind: str) -> bool:
-  broken = schedule.play(item).broken
-  return any(line.startswith(f'{kind}:') for line in broken)
+def _violates(item: schedule.Schedule, kind: str) -> bool:
+  violations = schedule.run(item).violations
+  return any(line.startswith(f'{kind}:') for line in violations)
 
 
 if __name__ == '__main__':
--- a/bench/faults/clock.py
+++ b/bench/faults/clock.py
@@ -1,6 +1,7 @@
 """An event loop whose clock jumps to the next timer.
 
-Nothing waits: minutes of a fleet take the processor time of their callbacks.
+No timer is waited for: simulated minutes of a fleet cost only the processor
+time of their callbacks.
 """
 
 from __future__ import annotations
@@ -11,24 +12,24 @@
 import selectors
 import time
 
-# Where the clock begins, in seconds: the monotonic clock and the time of day.
-FIRST_SECONDS = 1_000.0
-FIRST_TIME_OF_DAY = 1_800_000_000.0
+# Initial readings of the monotonic clock and of the time of day.
+INITIAL_MONOTONIC_SECONDS = 1_000.0
+INITIAL_TIME_OF_DAY_SECONDS = 1_800_000_000.0
 
 
 class Clock:
-  """The time of a run; `now` is in seconds of the monotonic clock."""
+  """A virtual clock; `now` is its monotonic reading in seconds."""
 
   def __init__(self) -> None:
-    self.now = FIRST_SECONDS
+    self.now = INITIAL_MONOTONIC_SECONDS
 
   def get_time_of_day(self) -> float:
-    """Returns the time of day that belongs to `now`, in seconds."""
-    return FIRST_TIME_OF_DAY + self.now - FIRST_SECONDS
+    """Returns the time of day at `now`, in seconds since the epoch."""
+    return INITIAL_TIME_OF_DAY_SECONDS + self.now - INITIAL_MONOTONIC_SECONDS
 
 
 class JumpingSelector(selectors.DefaultSelector):
-  """A selector that passes the time it should wait, and finds no input."""
+  """A selector that advances the clock by its timeout and reports no event."""
 
   def __init__(self, *, clock: Clock) -> None:
     super().__init__()
@@ -37,18 +38,18 @@
   def select(
     self, timeout: float | None = None
   ) -> list[tuple[selectors.SelectorKey, int]]:
-    """Returns nothing; raises where no timer would ever end the wait."""
+    """Returns an empty list; raises RuntimeError if no timer is set."""
     if timeout is None:
-      raise RuntimeError('All tasks wait, and no timer is set.')
+      raise RuntimeError('Deadlock: all tasks are waiting and no timer is set.')
     self._clock.now += max(0.0, timeout)
     return []
 
 
 @contextlib.contextmanager
 def run_by(clock: Clock) -> Iterator[asyncio.AbstractEventLoop]:
-  """Returns a context with a loop; the process's clocks are `clock` meanwhile.
+  """Yields an event loop while `time.monotonic` and `time.time` read `clock`.
 
-  Tasks that are left are dropped with the loop.
+  Tasks that are still pending at exit are cancelled.
   """
   monotonic, time_of_day = time.monotonic, time.time
   time.monotonic = lambda: clock.now
@@ -59,13 +60,13 @@
   try:
     yield loop
   finally:
-    _drop_tasks(loop)
+    _cancel_tasks(loop)
     asyncio.set_event_loop(None)
     loop.close()
     time.monotonic, time.time = monotonic, time_of_day
 
 
-def _drop_tasks(loop: asyncio.AbstractEventLoop) -> None:
+def _cancel_tasks(loop: asyncio.AbstractEventLoop) -> None:
   tasks = asyncio.all_tasks(loop)
   for task in tasks:
     task.cancel()
--- a/bench/faults/fleet.py
+++ b/bench/faults/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of daemons in one process: started, killed, stopped as planned."""
+"""A fleet of daemons in one process, which can be started and stopped."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from woadrun.process import node
 
 CHAT, DRAFT, ACT = '/chat/', '/draft/', '/act/'
-# Instances of each service.
-MODELS, TOOLS = 4, 2
-# Until daemons that start know each other, in seconds.
-START_SECONDS = 10.0
-# How long what a turn left is kept, in seconds.
+# Numbers of instances of the two services.
+MODEL_INSTANCES, TOOL_INSTANCES = 4, 2
+# Time within which starting daemons must discover each other.
+DISCOVERY_TIMEOUT_SECONDS = 10.0
+# How long the history that a turn leaves behind is retained.
 RETENTION_SECONDS = 60.0
 
 _ROUTE = {'host': 'h', 'timeout_ms': 4000, 'max_attempts': 2}
@@ -65,7 +65,7 @@
 
 
 class Fleet:
-  """Daemons by name, evenly over domains, with the store and all instances."""
+  """Daemons spread evenly over domains, with the row store and instances."""
 
   def __init__(
     self,
@@ -76,7 +76,7 @@
     config: dict[str, Any] | None = None,
     revocation: float | None = None,
   ) -> None:
-    self.tenancy = tenancy.Tenancy(dice=dice)
+    self.tenancy = tenancy.Tenancy(rng=dice)
     self._config = config
     self.revocation = revocation
     self.domains = [f'd{number}' for number in range(domains)]
@@ -84,9 +84,9 @@
       f'{self.domains[number % domains]}-{number // domains}'
       for number in range(daemons)
     ]
-    self.network = network.Network(dice=dice)
-    self.store = outside.Store(dice=dice)
-    self.instances = outside.Instances(dice=dice)
+    self.network = network.Network(rng=dice)
+    self.store = outside.Store(rng=dice)
+    self.instances = outside.Instances(rng=dice)
     self.site_by_name: dict[str, network.Site] = {}
     self._ports = itertools.count(1)
 
@@ -95,7 +95,7 @@
     return name.partition('-')[0]
 
   def get_alive(self) -> list[network.Site]:
-    """Returns the daemons that take new callers."""
+    """Returns the live daemons that are ready for callers."""
     return [
       site
       for site in self.site_by_name.values()
@@ -104,33 +104,42 @@
 
   @property
   def is_store_faulty(self) -> bool:
-    """Whether a daemon may be without the store's word."""
+    """Whether a fault may keep a daemon from an answer of the store."""
     store = self.store
-    is_partly_lost = bool(store.without or store.domains_without)
-    return store.is_out or store.is_slow or store.losing > 0 or is_partly_lost
+    is_partly_lost = bool(store.rejected_names or store.domains_without)
+    return (
+      store.is_out or store.is_slow or store.answer_loss > 0 or is_partly_lost
+    )
 
   async def start_all(self) -> None:
-    """Starts all daemons and returns once each knows all others."""
+    """Starts all daemons and returns once each has discovered all others."""
     await self.store.rows.change(
       writes=[
-        self._make_table(),
-        *(_make_instance('models', n, self.domains) for n in range(MODELS)),
-        *(_make_instance('tools', n, self.domains) for n in range(TOOLS)),
+        self._make_table_row(),
+        *(
+          _make_instance_row('models', n, self.domains)
+          for n in range(MODEL_INSTANCES)
+        ),
+        *(
+          _make_instance_row('tools', n, self.domains)
+          for n in range(TOOL_INSTANCES)
+        ),
       ]
     )
     for name in self.names:
       await self.start(name)
-      # It has run for long: what it does not know did not begin before it.
+      # Simulates a daemon with a long uptime: a program that is unknown to it
+      # did not begin before the daemon started.
       self.site_by_name[name].daemon.programs._created_at = -math.inf
-    async with asyncio.timeout(START_SECONDS):
+    async with asyncio.timeout(DISCOVERY_TIMEOUT_SECONDS):
       while not self._is_settled():
         await asyncio.sleep(0.1)
 
   async def change_teams(self) -> None:
-    """Puts the teams as they are now in force."""
-    await self.store.rows.change(writes=[self._make_table()])
+    """Writes the current teams to the operator's table."""
+    await self.store.rows.change(writes=[self._make_table_row()])
 
-  def _make_table(self) -> tuple[rows.Key, bytes]:
+  def _make_table_row(self) -> tuple[rows.Key, bytes]:
     teams = {
       'version': self.tenancy.version,
       'tenants': self.tenancy.list_teams(),
@@ -150,12 +159,13 @@
     )
 
   async def start(self, name: str) -> None:
-    """Starts a daemon, or one that was killed anew, at another address.
+    """Starts a daemon, or restarts a killed one at another address.
 
-    One that another fault has started again meanwhile stays.
+    Does nothing if the daemon runs already, since another fault may have
+    restarted it.
     """
-    known = self.site_by_name.get(name)
-    if known is not None and not known.is_dead:
+    current = self.site_by_name.get(name)
+    if current is not None and not current.is_dead:
       return
     view = outside.StoreView(
       shared=self.store, name=name, domain=self.get_domain(name)
@@ -167,7 +177,7 @@
       binding=node.Binding(
         addresses=fresh.Addresses(),
         store=view,
-        upstreams=self.instances.make_way(None),
+        upstreams=self.instances.make_upstreams(None),
         table_key=rows.Key('op', '', 'config'),
         instance_table='servers',
         decode_table=operator.decode,
@@ -177,7 +187,7 @@
     )
     site = network.Site(daemon=daemon, domain=config.domain)
     view.site = site
-    self.network.join(site)
+    self.network.attach(site)
     self.site_by_name[name] = site
     await daemon.start()
 
@@ -195,7 +205,7 @@
     )
 
   async def kill(self, name: str) -> None:
-    """Ends a daemon's process without a word."""
+    """Ends a daemon's process abruptly; does nothing if it is dead."""
     site = self.site_by_name[name]
     if site.is_dead:
       return
@@ -205,23 +215,23 @@
     await site.daemon.stop()
 
   async def leave(self, name: str) -> None:
-    """Stops a daemon as planned; returns too once it is killed meanwhile."""
+    """Stops a daemon gracefully; returns early if it is killed meanwhile."""
     site = self.site_by_name[name]
     if site.is_dead:
       return
-    await asyncio.wait([site.run(_leave(site.daemon))])
+    await asyncio.wait([site.run(_drain(site.daemon))])
     if not site.is_dead:
       await self.kill(name)
 
 
-async def _leave(daemon: node.Node) -> None:
-  """Returns once a daemon has done what a planned stop asks of it."""
+async def _drain(daemon: node.Node) -> None:
+  """Runs the steps of a graceful stop of a daemon."""
   await daemon.leave()
   await asyncio.sleep(1.0)
   await daemon.finish()
 
 
-def _make_instance(
+def _make_instance_row(
   service: str, number: int, domains: list[str]
 ) -> tuple[rows.Key, bytes]:
   entry: dict[str, Any] = {
--- a/bench/faults/network.py
+++ b/bench/faults/network.py
@@ -1,4 +1,4 @@
-"""Messages and datagrams between daemons in memory, over a faulty network."""
+"""A simulated network with faults for messages and datagrams of daemons."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 T = TypeVar('T')
 
-# One way between two daemons in calm times, in seconds.
-WAY_SECONDS = (0.0005, 0.002)
-# Until a message to a process that is gone, or over a cut that resets, fails.
-RESET_SECONDS = 0.002
-# Longer than anybody waits for a message, in seconds.
+# Range of the one-way latency between two daemons without faults.
+LATENCY_SECONDS = (0.0005, 0.002)
+# Delay until a message to a dead process, or over a cut with resets, fails.
+RESET_DELAY_SECONDS = 0.002
+# Exceeds every message timeout.
 HANG_SECONDS = 3_600.0
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Site:
-  """One daemon's place in the network; `tasks` end with its process."""
+  """A daemon on the network; its `tasks` are cancelled when it is killed."""
 
   daemon: node.Node
   domain: str
@@ -34,7 +34,7 @@
   tasks: set[asyncio.Task[Any]] = dataclasses.field(default_factory=set)
 
   def run(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-    """Returns a task that ends when the process is killed."""
+    """Returns a task that is cancelled when the daemon is killed."""
     task = asyncio.ensure_future(work)
     self.tasks.add(task)
     task.add_done_callback(self.tasks.discard)
@@ -43,21 +43,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cut:
-  """Nothing passes from the domains in `sources` to those in `targets`."""
+  """Drops all traffic from the domains in `sources` to those in `targets`.
+
+  With `is_reset`, messages fail at once instead of hanging.
+  """
 
   sources: frozenset[str]
   targets: frozenset[str]
   is_reset: bool
 
-  def holds(self, source: str, target: str) -> bool:
-    """Returns whether a way is cut."""
+  def drops(self, source: str, target: str) -> bool:
+    """Returns whether the cut drops traffic between two domains."""
     return source in self.sources and target in self.targets
 
 
 def make_cuts(
   domain: str, domains: Iterable[str], *, is_reset: bool
 ) -> list[Cut]:
-  """Returns the cuts by which a domain and all others lose each other."""
+  """Returns cuts in both directions between a domain and all others."""
   alone = frozenset({domain})
   others = frozenset(domains) - alone
   return [
@@ -67,32 +70,33 @@
 
 
 class Network:
-  """The ways between daemons, as faults leave them.
+  """The network between daemons, with the faults in force.
 
-  `loss` is the share of datagrams that are lost, `delay` what each way takes
-  on top, in seconds.  Messages of the daemons in `unsent_by`, and the answers
-  to messages of those in `unanswered_by`, never arrive; datagrams do.
+  `loss` is the share of datagrams that are lost, `delay` the maximum extra
+  one-way latency in seconds.  Messages sent by the daemons in
+  `requests_lost_from`, and replies to messages of the daemons in
+  `replies_lost_to`, never arrive; the daemons' datagrams do.
   """
 
-  def __init__(self, *, dice: random.Random) -> None:
-    self._dice = dice
+  def __init__(self, *, rng: random.Random) -> None:
+    self._rng = rng
     self.site_by_address: dict[str, Site] = {}
     self.cuts: list[Cut] = []
     self.loss = 0.0
     self.delay = 0.0
-    self.unsent_by: set[str] = set()
-    self.unanswered_by: set[str] = set()
+    self.requests_lost_from: set[str] = set()
+    self.replies_lost_to: set[str] = set()
 
-  def join(self, site: Site) -> None:
-    """Carries what a daemon sends and brings it what others send."""
+  def attach(self, site: Site) -> None:
+    """Attaches a daemon: replaces its transports by simulated ones."""
     daemon = site.daemon
     self.site_by_address[daemon.config.peers_address] = site
-    sent = daemon.fleet.datagrams
+    datagrams = daemon.fleet.datagrams
 
     async def open_in_memory() -> None:
-      sent._transport = _Transport(network=self, site=site)
+      datagrams._transport = _Transport(network=self, site=site)
 
-    async def listen_to_nothing() -> None:
+    async def skip_listening() -> None:
       return None
 
     async def post(
@@ -100,28 +104,30 @@
     ) -> Any:
       return await self._post(site, address, path, message, type, timeout)
 
-    sent.open = open_in_memory
-    daemon._listen = listen_to_nothing
+    datagrams.open = open_in_memory
+    daemon._listen = skip_listening
     daemon.links.post = post
 
   def _find_cut(self, source: Site, target: Site) -> Cut | None:
-    found = (c for c in self.cuts if c.holds(source.domain, target.domain))
+    found = (c for c in self.cuts if c.drops(source.domain, target.domain))
     return next(found, None)
 
-  def _draw_way(self) -> float:
-    return self._dice.uniform(*WAY_SECONDS) + self.delay * self._dice.random()
+  def _draw_latency(self) -> float:
+    return self._rng.uniform(*LATENCY_SECONDS) + self.delay * self._rng.random()
 
   def send(self, source: Site, address: str, data: bytes) -> None:
-    """Sends a datagram, which may be lost."""
+    """Sends a datagram, which the network may drop."""
     target = self.site_by_address.get(address)
     if target is None or source.is_dead or self._find_cut(source, target):
       return
-    if self._dice.random() < self.loss:
+    if self._rng.random() < self.loss:
       return
     loop = asyncio.get_running_loop()
-    loop.call_later(self._draw_way(), self._deliver, source, target, data)
+    loop.call_later(
+      self._draw_latency(), self._deliver_datagram, source, target, data
+    )
 
-  def _deliver(self, source: Site, target: Site, data: bytes) -> None:
+  def _deliver_datagram(self, source: Site, target: Site, data: bytes) -> None:
     if not target.is_dead and not self._find_cut(source, target):
       target.daemon.fleet.datagrams._receive(data)
 
@@ -139,64 +145,66 @@
     try:
       async with asyncio.timeout(timeout):
         body = links.encode(message)
-        await _hang_if(name in self.unsent_by)
-        target = await self._pass(source, self.site_by_address.get(address))
+        await _hang_if(name in self.requests_lost_from)
+        target = await self._deliver_message(
+          source, self.site_by_address.get(address)
+        )
         handler = target.daemon._handler_by_path[path]
         work = target.run(handler(body))
         try:
           reply = await asyncio.shield(work)
         except asyncio.CancelledError:
           if work.cancelled():
-            raise _lose(address) from None
+            raise _make_no_answer(address) from None
           raise
-        await _hang_if(name in self.unanswered_by)
-        await self._pass(target, source)
+        await _hang_if(name in self.replies_lost_to)
+        await self._deliver_message(target, source)
     except TimeoutError:
-      raise _lose(address) from None
+      raise _make_no_answer(address) from None
     return links.decode(reply.status, reply.body, type)
 
-  async def _pass(self, source: Site, target: Site | None) -> Site:
-    """Returns the target once a message has come there."""
+  async def _deliver_message(self, source: Site, target: Site | None) -> Site:
+    """Returns the target once a message has arrived there."""
     if source.is_dead:
       await asyncio.Event().wait()
     if target is None or target.is_dead:
-      await asyncio.sleep(RESET_SECONDS)
-      raise _lose('a process that is gone')
+      await asyncio.sleep(RESET_DELAY_SECONDS)
+      raise _make_no_answer('a dead process')
     cut = self._find_cut(source, target)
     if cut is not None and cut.is_reset:
-      await asyncio.sleep(RESET_SECONDS)
-      raise _lose(target.daemon.config.name)
+      await asyncio.sleep(RESET_DELAY_SECONDS)
+      raise _make_no_answer(target.daemon.config.name)
     await _hang_if(cut is not None)
-    await asyncio.sleep(self._draw_way())
+    await asyncio.sleep(self._draw_latency())
     return target
 
 
 class _Transport:
-  """What a daemon's datagrams are sent by."""
+  """The datagram transport of a daemon."""
 
   def __init__(self, *, network: Network, site: Site) -> None:
     self._network = network
     self._site = site
 
   def sendto(self, data: bytes, endpoint: tuple[str, int]) -> None:
-    """Sends one datagram."""
+    """Sends a datagram to a host and port."""
     host, port = endpoint
     self._network.send(self._site, f'{host}:{port}', data)
 
   def close(self) -> None:
-    """Does nothing: the process's end is the network's."""
+    """Does nothing: the network drops datagrams of dead daemons."""
 
 
 async def _hang_if(is_lost: bool) -> None:
-  """Returns at once, or after the time of any message."""
+  """Sleeps longer than any message timeout if a message is lost."""
   if is_lost:
     await asyncio.sleep(HANG_SECONDS)
 
 
-def _lose(address: str) -> peers.NoAnswer:
+def _make_no_answer(address: str) -> peers.NoAnswer:
   return peers.NoAnswer(
     errors.Code.OWNER_UNAVAILABLE,
-    f'{address} gave no answer.',
+    f'No answer from {address}.',
     ran=errors.Ran.UNKNOWN,
     retry_after=1.0,
   )
--- a/bench/faults/outside.py
+++ b/bench/faults/outside.py
@@ -1,4 +1,4 @@
-"""What daemons find outside: the row store and instances, with their faults."""
+"""Simulated row store and instances, with their faults."""
 
 from __future__ import annotations
 
@@ -16,45 +16,46 @@
 from woadrun.request import exchange
 from woadrun.standins import rows as standin
 
-# An answer of the store in calm times, and of one that is slow, in seconds.
-ANSWER_SECONDS = 0.004
-SLOW_SECONDS = 0.35
-# A call of a store that is silent counts as lost after so long, in seconds.
-SILENCE_SECONDS = 0.8
-# Between two events of an answer, in seconds.
-EVENT_SECONDS = (0.01, 0.03)
+# Response times of the store: normal, and the mean extra time when slow.
+RESPONSE_SECONDS = 0.004
+SLOW_RESPONSE_SECONDS = 0.35
+# Time after which a call that the store does not answer counts as lost.
+SILENCE_TIMEOUT_SECONDS = 0.8
+# Range of the interval between two events of an answer.
+EVENT_INTERVAL_SECONDS = (0.01, 0.03)
 TOKENS_PER_EVENT = 3
-# Shares of sends that never reach their instance, that it turns away, and of
-# answers that break off.
-NOT_SENT, TURNED_AWAY, TORN = 0.01, 0.01, 0.02
+# Shares of requests that never reach their instance, of requests that the
+# instance rejects, and of answers that break off.
+UNSENT_SHARE, REJECTED_SHARE, TRUNCATED_SHARE = 0.01, 0.01, 0.02
 
 
 class Store:
-  """The row store and its faults, which the views of all daemons share.
+  """The row store and its faults, shared by the views of all daemons.
 
-  `is_silent` says that calls without the store get no answer instead of a
-  failure; `without` has the names of daemons that it turns away and
-  `domains_without` the domains.
+  With `is_silent`, calls that the store does not serve time out instead of
+  failing at once.  The store rejects the daemons in `rejected_names` and the
+  domains in `domains_without`; `answer_loss` is the share of changes whose answer
+  is lost.
   """
 
-  def __init__(self, *, dice: random.Random) -> None:
+  def __init__(self, *, rng: random.Random) -> None:
     self.rows = standin.MemoryRows()
-    self.dice = dice
+    self.rng = rng
     self.is_out = False
     self.is_silent = False
     self.is_slow = False
-    self.losing = 0.0
-    self.without: set[str] = set()
+    self.answer_loss = 0.0
+    self.rejected_names: set[str] = set()
     self.domains_without: set[str] = set()
 
   def is_lost(self, name: str, domain: str) -> bool:
-    """Returns whether a daemon has no store."""
-    is_turned_away = name in self.without or domain in self.domains_without
-    return self.is_out or is_turned_away
+    """Returns whether a daemon cannot reach the store."""
+    is_rejected = name in self.rejected_names or domain in self.domains_without
+    return self.is_out or is_rejected
 
 
 class StoreView:
-  """One daemon's way to the store; implements `rows.RowStore`."""
+  """A daemon's view of the store; implements `rows.RowStore`."""
 
   def __init__(self, *, shared: Store, name: str, domain: str) -> None:
     self._shared = shared
@@ -63,64 +64,63 @@
     self.site: network.Site | None = None
 
   async def change(self, **options: Any) -> rows.Outcome:
-    """Returns what became of a change, whose answer may be lost."""
-    await self._reach()
+    """Returns the outcome of a change, whose answer may be lost."""
+    await self._send_request()
     outcome = await self._shared.rows.change(**options)
-    if self._shared.dice.random() < self._shared.losing:
-      await asyncio.sleep(SILENCE_SECONDS)
-      raise _fail(errors.Ran.UNKNOWN)
-    await self._return()
+    if self._shared.rng.random() < self._shared.answer_loss:
+      await asyncio.sleep(SILENCE_TIMEOUT_SECONDS)
+      raise _make_error(errors.Ran.UNKNOWN)
+    await self._receive_answer()
     return outcome
 
   async def read(self, *parts: Any, **options: Any) -> rows.Page:
-    """Returns rows."""
-    await self._reach()
+    """Returns a page of rows."""
+    await self._send_request()
     page = await self._shared.rows.read(*parts, **options)
-    await self._return()
+    await self._receive_answer()
     return page
 
   async def follow(self, *parts: Any, **options: Any) -> rows.Page:
-    """Returns changes."""
-    await self._reach()
+    """Returns a page of changes."""
+    await self._send_request()
     page = await self._shared.rows.follow(*parts, **options)
-    await self._return()
+    await self._receive_answer()
     return page
 
-  async def _reach(self) -> None:
+  async def _send_request(self) -> None:
     if self.site is not None and self.site.is_dead:
       await asyncio.Event().wait()
-    await self._return()
+    await self._receive_answer()
     if self._shared.is_slow:
-      await asyncio.sleep(SLOW_SECONDS * self._shared.dice.uniform(0.5, 1.5))
+      await asyncio.sleep(
+        SLOW_RESPONSE_SECONDS * self._shared.rng.uniform(0.5, 1.5)
+      )
 
-  async def _return(self) -> None:
+  async def _receive_answer(self) -> None:
     if self._shared.is_lost(self._name, self._domain):
       if self._shared.is_silent:
-        await asyncio.sleep(SILENCE_SECONDS)
-      raise _fail(errors.Ran.UNKNOWN)
-    await asyncio.sleep(ANSWER_SECONDS / 2)
+        await asyncio.sleep(SILENCE_TIMEOUT_SECONDS)
+      raise _make_error(errors.Ran.UNKNOWN)
+    await asyncio.sleep(RESPONSE_SECONDS / 2)
 
 
-def _fail(ran: errors.Ran) -> errors.WoadrunError:
+def _make_error(ran: errors.Ran) -> errors.WoadrunError:
   return errors.WoadrunError(
-    errors.Code.PLATFORM_UNAVAILABLE, 'The store is out.', ran=ran
+    errors.Code.PLATFORM_UNAVAILABLE, 'The store is unavailable.', ran=ran
   )
 
 
 class Instances:
-  """All instances: they keep body and team of each request that they ran.
+  """All instances; records the bodies and team of each request that was run."""
 
-  `is_cut_off` tells whether a daemon cannot send to an instance's domain.
-  """
-
-  def __init__(self, *, dice: random.Random) -> None:
-    self._dice = dice
+  def __init__(self, *, rng: random.Random) -> None:
+    self._rng = rng
     self.bodies_by_request: dict[str, list[bytes]] = {}
     self.team_by_request: dict[str, str | None] = {}
 
-  def make_way(self, site: network.Site | None) -> exchange.Upstreams:
-    """Returns one daemon's way to all instances."""
-    return _Way(send=lambda sending: self._send(site, sending))
+  def make_upstreams(self, site: network.Site | None) -> exchange.Upstreams:
+    """Returns the upstreams by which a daemon reaches all instances."""
+    return _Upstreams(send=lambda sending: self._send(site, sending))
 
   @contextlib.asynccontextmanager
   async def _send(
@@ -128,32 +128,36 @@
   ) -> AsyncIterator[exchange.Reply]:
     if site is not None and site.is_dead:
       await asyncio.Event().wait()
-    drawn = self._dice.random()
-    if drawn < NOT_SENT:
+    draw = self._rng.random()
+    if draw < UNSENT_SHARE:
       raise exchange.NotSent('refused')
-    if drawn < NOT_SENT + TURNED_AWAY:
-      yield _make_reply(503, self._say_nothing(), has_run=False)
+    if draw < UNSENT_SHARE + REJECTED_SHARE:
+      yield _make_reply(503, self._stream_nothing(), has_run=False)
       return
     id = sending.request.id
     self.bodies_by_request.setdefault(id, []).append(sending.body)
     self.team_by_request[id] = sending.team
-    is_torn = drawn > 1 - TORN
-    yield _make_reply(200, self._stream(id, is_torn=is_torn), has_run=True)
-
-  async def _stream(self, id: str, *, is_torn: bool) -> AsyncGenerator[bytes]:
-    events = self._dice.randint(1, 3)
+    is_truncated = draw > 1 - TRUNCATED_SHARE
+    yield _make_reply(
+      200, self._stream(id, is_truncated=is_truncated), has_run=True
+    )
+
+  async def _stream(
+    self, id: str, *, is_truncated: bool
+  ) -> AsyncGenerator[bytes]:
+    events = self._rng.randint(1, 3)
     for number in range(events):
-      await asyncio.sleep(self._dice.uniform(*EVENT_SECONDS))
+      await asyncio.sleep(self._rng.uniform(*EVENT_INTERVAL_SECONDS))
       yield f'id: {number}\ndata: {id}-{number}\n\n'.encode()
-    if is_torn:
+    if is_truncated:
       raise exchange.Lost('reset')
 
-  async def _say_nothing(self) -> AsyncGenerator[bytes]:
+  async def _stream_nothing(self) -> AsyncGenerator[bytes]:
     yield b''
 
 
-class _Way:
-  """Implements `exchange.Upstreams`."""
+class _Upstreams:
+  """Sends through a function; implements `exchange.Upstreams`."""
 
   def __init__(self, *, send: Callable[[exchange.Sending], Any]) -> None:
     self.send = send
--- a/bench/faults/tenancy.py
+++ b/bench/faults/tenancy.py
@@ -1,4 +1,4 @@
-"""Teams of a fleet's callers: their keys and rates, and what became of them."""
+"""Teams of a fleet's callers: their keys and rate limits over time."""
 
 from __future__ import annotations
 
@@ -7,29 +7,31 @@
 import random
 from typing import Any
 
-# Requests a second of the team that has a limit, and those that it may have.
-RATE = 12.0
-RATES = (1.0, 3.0, 12.0)
-LIMITED = 'green'
-NAMES = ('red', 'blue', LIMITED)
-# How many programs they begin, relative to each other.
-WEIGHTS = (3, 2, 1)
-# A key may be used for so long after it was revoked, in seconds, in fleets that
-# bound it: less than most faults last.
+# Initial rate limit of the limited team, and the limits that a fault may set,
+# in requests per second.
+INITIAL_RATE = 12.0
+RATE_CHOICES = (1.0, 3.0, 12.0)
+LIMITED_TEAM = 'green'
+TEAM_NAMES = ('red', 'blue', LIMITED_TEAM)
+# Relative numbers of programs that the teams begin.
+PROGRAM_WEIGHTS = (3, 2, 1)
+# How long a revoked key may still be accepted in fleets that bound this time;
+# less than most faults last.
 REVOCATION_SECONDS = 2.0
-# The window in which a team's requests are counted, in seconds, and by how much
-# they may exceed its limit while something fails.
+# The window in which a team's requests are counted, and by how much they may
+# exceed the team's limit during faults.
 WINDOW_SECONDS = 5.0
-OVER_SHARE, OVER_REQUESTS = 0.1, 20
-# A lower limit is in force everywhere so long after its change, in seconds.
-APPLY_SECONDS = 3.0
+EXCESS_SHARE, EXCESS_REQUESTS = 0.1, 20
+# Time after which all daemons must have applied a lowered limit.
+APPLY_TIMEOUT_SECONDS = 3.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Key:
-  """A key; `holders` are all teams that ever had it, the last one has it now.
+  """An API key; `holders` are all teams that ever had it, in order.
 
-  `revoked_at` is infinite while a team has it.
+  The last holder has the key until `revoked_at`, which is infinite while the
+  key is valid.
   """
 
   secret: str
@@ -40,34 +42,38 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limit:
-  """A limit from a moment on."""
+  """A rate limit in requests per second, and when it was set."""
 
   since: float
   rate: float
 
 
 class Tenancy:
-  """The teams as the operator's table has them, and as it had them."""
+  """The teams in the operator's table, with their past keys and limits.
 
-  def __init__(self, *, dice: random.Random) -> None:
-    self._dice = dice
+  `ran_at` are the times at which requests of the limited team were sent that an
+  instance ran.
+  """
+
+  def __init__(self, *, rng: random.Random) -> None:
+    self._rng = rng
     self.version = 1
-    self.keys = [Key(secret=f'{name}-1', holders=[name]) for name in NAMES]
-    self.limits = [Limit(since=-math.inf, rate=RATE)]
+    self.keys = [Key(secret=f'{name}-1', holders=[name]) for name in TEAM_NAMES]
+    self.limits = [Limit(since=-math.inf, rate=INITIAL_RATE)]
     self.ran_at: list[float] = []
 
   def list_teams(self) -> list[dict[str, Any]]:
-    """Returns the teams as the operator writes them."""
+    """Returns the teams as rows of the operator's configuration."""
     return [
       {
         'name': name,
         'api_keys': [key.secret for key in self._find_keys(name)],
-        **(self._list_limit() if name == LIMITED else {}),
+        **(self._make_limit_fields() if name == LIMITED_TEAM else {}),
       }
-      for name in NAMES
+      for name in TEAM_NAMES
     ]
 
-  def _list_limit(self) -> dict[str, float]:
+  def _make_limit_fields(self) -> dict[str, float]:
     rate = self.limits[-1].rate
     return {'rate_per_s': rate, 'burst': rate}
 
@@ -79,39 +85,39 @@
     ]
 
   def get_key(self, team: str) -> Key:
-    """Returns a key that a team has."""
+    """Returns a valid key of a team."""
     return self._find_keys(team)[0]
 
-  def draw_old_key(self) -> Key | None:
-    """Returns a key that was revoked, if any was."""
-    old = [key for key in self.keys if key.revoked_at < math.inf]
-    return self._dice.choice(old) if old else None
+  def draw_revoked_key(self) -> Key | None:
+    """Returns a random revoked key, or None if no key was revoked."""
+    revoked = [key for key in self.keys if key.revoked_at < math.inf]
+    return self._rng.choice(revoked) if revoked else None
 
   # --- Changes by the operator ----------------------------------------------
 
   def replace_key(self, team: str, now: float) -> None:
-    """Takes a team's key away and gives it another one."""
+    """Revokes a team's key and adds a new one."""
     self.version += 1
     self.get_key(team).revoked_at = now
     secret = f'{team}-{self.version}'
     self.keys.append(Key(secret=secret, holders=[team], added_at=now))
 
   def swap_keys(self, one: str, other: str) -> None:
-    """Gives each of two teams the key of the other one."""
+    """Swaps the keys of two teams."""
     self.version += 1
     first, second = self.get_key(one), self.get_key(other)
     first.holders.append(other)
     second.holders.append(one)
 
   def set_rate(self, rate: float, now: float) -> None:
-    """Changes the limit of the team that has one."""
+    """Changes the limit of the limited team."""
     self.version += 1
     self.limits.append(Limit(since=now, rate=rate))
 
-  # --- What must hold -------------------------------------------------------
+  # --- Invariants -----------------------------------------------------------
 
   def find_excess(self) -> str:
-    """Returns by what the limited team broke its limit, empty if by nothing."""
+    """Returns how the limited team exceeded its limit, or an empty string."""
     ran_at = sorted(self.ran_at)
     first = 0
     for last, at in enumerate(ran_at):
@@ -124,13 +130,13 @@
     return ''
 
   def _get_allowed(self, at: float) -> float:
-    """Returns how many requests a window that ends then may have."""
-    from_when = at - 2 * WINDOW_SECONDS - APPLY_SECONDS
+    """Returns how many requests are allowed in the window that ends at `at`."""
+    since = at - 2 * WINDOW_SECONDS - APPLY_TIMEOUT_SECONDS
     until = [limit.since for limit in self.limits[1:]] + [math.inf]
     rate = max(
       limit.rate
       for limit, end in zip(self.limits, until, strict=True)
-      if end >= from_when and limit.since <= at
+      if end >= since and limit.since <= at
     )
     allowed = rate * WINDOW_SECONDS + rate
-    return allowed * (1 + OVER_SHARE) + OVER_REQUESTS
+    return allowed * (1 + EXCESS_SHARE) + EXCESS_REQUESTS
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The machine that plays schedules of faults runs by its seed alone."""
+"""Fault schedules: runs depend on the seed alone, and find violations."""
 
 import asyncio
 import random
@@ -18,15 +18,17 @@
 from woadrun.version import teams
 
 
-def make_fault(kind, *, at=1.0, seconds=2.0, place=0, how=0):
-  return schedule.Fault(kind=kind, at=at, seconds=seconds, place=place, how=how)
+def make_fault(kind, *, at=1.0, seconds=2.0, target=0, variant=0):
+  return schedule.Fault(
+    kind=kind, at=at, seconds=seconds, target=target, variant=variant
+  )
 
 
 def make_schedule(*faults, seed=1):
   return schedule.Schedule(seed=seed, daemons=3, domains=3, faults=faults)
 
 
-def test_hours_pass_at_once_and_the_clocks_come_back():
+def test_run_by_skips_waits_and_restores_the_clocks():
   before = time.monotonic
   with clock.run_by(clock.Clock()) as loop:
     began, day = time.monotonic(), time.time()
@@ -36,46 +38,46 @@
   assert time.monotonic is before
 
 
-def test_a_wait_that_nothing_ends_is_told():
+def test_a_wait_without_a_timer_raises():
   with clock.run_by(clock.Clock()) as loop:
     with pytest.raises(RuntimeError, match='no timer'):
       loop.run_until_complete(asyncio.Event().wait())
 
 
-def test_a_seed_draws_and_plays_the_same_schedule_again():
+def test_equal_seeds_give_equal_schedules_and_results():
   drawn = [schedule.draw(4, daemons=3, domains=3) for _ in range(2)]
   assert drawn[0] == drawn[1]
   assert drawn[0] != schedule.draw(5, daemons=3, domains=3)
-  results = [schedule.play(item) for item in drawn]
+  results = [schedule.run(item) for item in drawn]
   assert results[0] == results[1]
   assert results[0].count_by_status[200] > 20
 
 
-def test_a_schedule_is_shortened_to_the_faults_that_matter():
+def test_shrink_keeps_only_the_faults_that_matter():
   cut, kill = make_fault('cut'), make_fault('kill')
   long = make_schedule(make_fault('delay'), cut, make_fault('forget'), kill)
 
-  def is_broken(item):
+  def is_failing(item):
     return cut in item.faults and kill in item.faults
 
-  assert schedule.shorten(long, is_broken).faults == (cut, kill)
+  assert schedule.shrink(long, is_failing).faults == (cut, kill)
 
 
-def test_a_home_that_spends_without_its_part_is_found(monkeypatch):
+def test_a_budget_spent_beyond_its_offline_share_is_found(monkeypatch):
   monkeypatch.setattr(
     reservations.Reservations, '_fits_offline', lambda *_: True
   )
-  broken = (
+  violations = (
     line
     for seed in range(1, 40)
-    for line in schedule.play(
-      make_schedule(make_fault('cut', place=seed), seed=seed)
-    ).broken
+    for line in schedule.run(
+      make_schedule(make_fault('cut', target=seed), seed=seed)
+    ).violations
   )
-  assert next(broken, '').startswith('budget:')
+  assert next(violations, '').startswith('budget:')
 
 
-# --- What callers check -------------------------------------------------------
+# --- Checks of the callers ----------------------------------------------------
 
 
 def check(
@@ -89,33 +91,33 @@
   late=0.0,
 ):
   served = fleet.Fleet(dice=random.Random(1), daemons=1, domains=1)
-  around = callers.Callers(dice=random.Random(1), served=served)
+  caller_pool = callers.Callers(rng=random.Random(1), served=served)
   program = callers.Program(
-    id='p', budget=9, most=9, path=fleet.CHAT, domain='d0'
+    id='p', budget=9, max_tokens=9, path=fleet.CHAT, domain='d0'
   )
   served.instances.bodies_by_request['t'] = list(runs)
   served.instances.team_by_request['t'] = team
   served.revocation = tenancy.REVOCATION_SECONDS
-  given = served.tenancy.get_key(key) if key else None
+  sent_key = served.tenancy.get_key(key) if key else None
   if late:
-    given.revoked_at = 0.0
-  around._check(
+    sent_key.revoked_at = 0.0
+  caller_pool._check(
     callers.Turn(
       id='t',
       program=program,
-      line=b'',
+      history=b'',
       parent=parent,
       status=status,
       body=body,
-      key=given,
+      key=sent_key,
       sent_at=late,
       ended_at=late + 1.0,
     )
   )
-  return around.broken
+  return caller_pool.violations
 
 
-def test_a_turn_that_went_well_breaks_nothing():
+def test_a_correct_turn_violates_nothing():
   assert check() == []
 
 
@@ -134,79 +136,81 @@
     ({'team': 'blue', 'key': 'blue', 'parent': 'a'}, 'foreign'),
   ],
 )
-def test_each_broken_promise_is_told(turn, word):
+def test_each_violation_is_reported(turn, word):
   (line,) = check(**turn)
   assert line.startswith(f'{word}:')
 
 
-def test_what_is_given_beyond_the_budget_is_told():
+def test_tokens_beyond_the_budget_are_reported():
   served = fleet.Fleet(dice=random.Random(1), daemons=1, domains=1)
-  around = callers.Callers(dice=random.Random(1), served=served)
+  caller_pool = callers.Callers(rng=random.Random(1), served=served)
   program = callers.Program(
-    id='p', budget=9, most=9, path=fleet.CHAT, domain='d0'
+    id='p', budget=9, max_tokens=9, path=fleet.CHAT, domain='d0'
   )
-  turn = callers.Turn(id='t', program=program, line=b'')
-  around._take(turn, b'data: a\n' * 6)
-  assert around.broken == []
-  around._take(turn, b'data: a\n')
-  assert around.broken == ['budget: p was given 21 of 9 and 9']
+  turn = callers.Turn(id='t', program=program, history=b'')
+  caller_pool._record_chunk(turn, b'data: a\n' * 6)
+  assert caller_pool.violations == []
+  caller_pool._record_chunk(turn, b'data: a\n')
+  assert caller_pool.violations == [
+    'budget: p received 21 tokens, allowed 9 and one turn of 9'
+  ]
 
 
-def test_a_key_may_be_used_for_a_while_after_it_was_revoked():
+def test_a_revoked_key_is_allowed_within_the_bound():
   assert check(late=tenancy.REVOCATION_SECONDS) == []
 
 
-def test_requests_beyond_a_limit_are_told():
-  known = tenancy.Tenancy(dice=random.Random(1))
-  allowed = int(tenancy.RATE * 6 * 1.1 + tenancy.OVER_REQUESTS)
+def test_requests_beyond_a_limit_are_reported():
+  known = tenancy.Tenancy(rng=random.Random(1))
+  allowed = int(tenancy.INITIAL_RATE * 6 * 1.1 + tenancy.EXCESS_REQUESTS)
   known.ran_at = [100.0 + n / 1_000 for n in range(allowed)]
   assert known.find_excess() == ''
   known.ran_at.append(101.0)
   assert known.find_excess()
 
 
-def test_a_lowered_limit_counts_once_it_must_be_in_force():
-  known = tenancy.Tenancy(dice=random.Random(1))
+def test_a_lowered_limit_is_checked_after_the_time_to_apply_it():
+  known = tenancy.Tenancy(rng=random.Random(1))
   known.set_rate(3.0, 200.0)
   for at, is_allowed in ((205.0, True), (214.0, False)):
     known.ran_at = [at + n / 1_000 for n in range(60)]
     assert (known.find_excess() == '') is is_allowed
 
 
-# --- What it finds with a part switched off -----------------------------------
+# --- Violations found with a safeguard disabled -------------------------------
 
 
-def find_broken(kinds, *, seeds, seed_step=2):
+def find_violation(kinds, *, seeds, seed_step=2):
   for seed in range(1, seeds, seed_step):
     drawn = schedule.draw(seed, daemons=6, domains=3, kinds=kinds)
-    broken = schedule.play(drawn).broken
-    if broken:
-      return broken[0].partition(':')[0]
+    violations = schedule.run(drawn).violations
+    if violations:
+      return violations[0].partition(':')[0]
   return ''
 
 
-def test_a_table_of_any_age_is_found(monkeypatch):
+def test_a_table_accepted_at_any_age_is_found(monkeypatch):
   monkeypatch.setattr(catalogue.Catalogue, 'is_fresh', lambda _: True)
-  played = (
-    schedule.play(
+  results = (
+    schedule.run(
       make_schedule(
-        make_fault('cut', at=0.6, seconds=5.0, place=seed),
-        make_fault('revoke', at=1.0, seconds=0.5, place=seed),
+        make_fault('cut', at=0.6, seconds=5.0, target=seed),
+        make_fault('revoke', at=1.0, seconds=0.5, target=seed),
         seed=seed,
       )
     )
     for seed in range(1, 20, 2)
   )
-  broken = (line for result in played for line in result.broken)
-  assert next(broken, '').startswith('revoked:')
+  violations = (line for result in results for line in result.violations)
+  assert next(violations, '').startswith('revoked:')
 
 
-def test_turns_that_are_found_by_their_id_alone_are_found(monkeypatch):
+def test_turns_not_scoped_by_team_are_found(monkeypatch):
   monkeypatch.setattr(teams, 'scope', lambda team, id: id)
-  assert find_broken(('revoke',), seeds=10) in ('foreign', 'budget')
+  assert find_violation(('revoke',), seeds=10) in ('foreign', 'budget')
 
 
-def test_rates_that_each_daemon_keeps_by_itself_are_found(monkeypatch):
+def test_rates_counted_by_each_daemon_alone_are_found(monkeypatch):
   async def answer_here(self, member, ask):
     return await self._local.answer(ask)
 
@@ -214,4 +218,4 @@
   monkeypatch.setattr(
     rate_keeper.RateKeeper, '_get_share', lambda self, team: 1.0
   )
-  assert find_broken(('limit',), seeds=20) == 'rate'
+  assert find_violation(('limit',), seeds=20) == 'rate'
