--- a/bench/control.py
+++ b/bench/control.py
@@ -1,7 +1,7 @@
-"""What control costs a daemon: idle domains of growing size, as processes.
+"""Measures the control-plane cost of idle domains of growing size.
 
-For each size: messages, bytes, processor time and memory of a daemon, and
-the table's reads and writes, over a time without callers.
+Runs daemons as processes without callers.  Prints for each size the messages,
+bytes, processor time and memory of a daemon, and the table's reads and writes.
 
 Usage: ./dev python bench/control.py [--sizes 4 12 24 48] [--seconds 10]
 """
@@ -43,47 +43,47 @@
         await fleet.add('north', daemon={'slots': max(32, size * 4)})
       await fleet.wait_ready()
       await asyncio.sleep(5.0)
-      return await observe(fleet, seconds)
+      return await measure_idle(fleet, seconds)
     finally:
       await fleet.stop()
 
 
-async def observe(fleet, seconds: float) -> list[str]:
+async def measure_idle(fleet, seconds: float) -> list[str]:
   before = [await fleet.dump(n) for n in fleet.nodes]
   platform = fleet.outside.platform
   requests, writes = platform.requests, platform.table_writes
-  spent = [
+  processor_before = [
     processes.get_processor_seconds(fleets.get_pid(n)) for n in fleet.nodes
   ]
   started = time.monotonic()
   await asyncio.sleep(seconds)
-  passed = time.monotonic() - started
-  used = [
+  elapsed = time.monotonic() - started
+  processor_seconds = [
     processes.get_processor_seconds(fleets.get_pid(n)) - s
-    for n, s in zip(fleet.nodes, spent, strict=True)
+    for n, s in zip(fleet.nodes, processor_before, strict=True)
   ]
-  reads = (platform.requests - requests) / passed
-  written = (platform.table_writes - writes) / passed
+  reads_per_second = (platform.requests - requests) / elapsed
+  writes_per_second = (platform.table_writes - writes) / elapsed
   after = [await fleet.dump(n) for n in fleet.nodes]
-  sent = [
-    (b['messages']['sent'] - a['messages']['sent']) / passed
+  messages_per_second = [
+    (b['messages']['sent'] - a['messages']['sent']) / elapsed
     for a, b in zip(before, after, strict=True)
   ]
-  size = [
-    (get_network_bytes(b) - get_network_bytes(a)) / passed
+  bytes_per_second = [
+    (get_network_bytes(b) - get_network_bytes(a)) / elapsed
     for a, b in zip(before, after, strict=True)
   ]
-  memory = [
+  resident_mb = [
     processes.get_resident_bytes(fleets.get_pid(n)) / 2**20 for n in fleet.nodes
   ]
   return [
     str(len(fleet.nodes)),
-    f'{statistics.fmean(sent):.1f}',
-    f'{statistics.fmean(size):.0f}',
-    f'{statistics.fmean(used) / passed * 100:.2f}',
-    f'{statistics.fmean(memory):.1f}',
-    f'{reads:.1f}',
-    f'{written:.2f}',
+    f'{statistics.fmean(messages_per_second):.1f}',
+    f'{statistics.fmean(bytes_per_second):.0f}',
+    f'{statistics.fmean(processor_seconds) / elapsed * 100:.2f}',
+    f'{statistics.fmean(resident_mb):.1f}',
+    f'{reads_per_second:.1f}',
+    f'{writes_per_second:.2f}',
   ]
 
 
--- a/bench/faults/callers.py
+++ b/bench/faults/callers.py
@@ -42,8 +42,8 @@
 class Program:
   """A program with its token budget.
 
-  `max_tokens` bounds the tokens of each turn; `received_tokens` counts the tokens
-  that the program's callers have received.
+  `max_tokens` bounds the tokens of each turn; `received_tokens` counts the
+  tokens that the program's callers have received.
   """
 
   id: str
--- a/bench/faults/outside.py
+++ b/bench/faults/outside.py
@@ -34,8 +34,8 @@
 
   With `is_silent`, calls that the store does not serve time out instead of
   failing at once.  The store rejects the daemons in `rejected_names` and the
-  domains in `domains_without`; `answer_loss` is the share of changes whose answer
-  is lost.
+  domains in `domains_without`; `answer_loss` is the share of changes whose
+  answer is lost.
   """
 
   def __init__(self, *, rng: random.Random) -> None:
--- a/bench/fleet_soak/__init__.py
+++ b/bench/fleet_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of daemons on the platform: real processes under random faults."""
+"""Soak test of daemons on the platform: real processes and random faults."""
--- a/bench/fleet_soak/__main__.py
+++ b/bench/fleet_soak/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the soak: `./dev python bench/fleet_soak --seed 1 --seconds 30`.
+"""Runs the soak test: `./dev python bench/fleet_soak --seed 1 --seconds 30`.
 
-Prints what happened and each violation of a promise; exits with 1 where
-there was one.  Logs of the daemons are kept then.
+Prints a summary and each violation of a guarantee.  Exits with 1 and keeps the
+logs of the daemons if there was a violation.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from fleet_soak import outside
 
 DOMAINS = ('north', 'south')
-READY_SECONDS = 30.0
-RETURN_SECONDS = 15.0
-TURNS_ASKED = 20
+READY_TIMEOUT_SECONDS = 30.0
+CONTINUE_TIMEOUT_SECONDS = 15.0
+CHECKED_TURNS = 20
 
 
 async def soak(
   *, seed: int, seconds: float, count: int, folder: pathlib.Path
 ) -> list[str]:
-  """Returns the violations that a seed found."""
+  """Returns the violations found in a run with a seed."""
   hosts = network.Network()
-  around = outside.Outside(domains=DOMAINS, seed=seed, hosts=hosts)
-  await around.start()
+  environment = outside.Outside(domains=DOMAINS, seed=seed, hosts=hosts)
+  await environment.start()
   fleet = [
     daemons.Daemon(
       number=n,
@@ -49,59 +49,70 @@
     )
     for n in range(count)
   ]
-  seen = callers.Callers(fleet=fleet, seed=seed, count=2 * count)
-  causes = faults.Faults(fleet=fleet, around=around, seed=seed)
-  checks = checker.Checker(around=around, seen=seen)
+  caller_pool = callers.Callers(fleet=fleet, seed=seed, count=2 * count)
+  injector = faults.Faults(fleet=fleet, environment=environment, seed=seed)
+  guarantees = checker.Checker(environment=environment, caller_pool=caller_pool)
   try:
-    await asyncio.gather(*(daemon.start(around.store) for daemon in fleet))
+    await asyncio.gather(
+      *(daemon.start(environment.store_address) for daemon in fleet)
+    )
     await _wait_ready(fleet)
-    found = await _play(seen, causes, checks, seconds)
+    found = await _run_faults(caller_pool, injector, guarantees, seconds)
     await _wait_ready(fleet)
-    found += await _ask_last(seen, checks)
-    found += checks.check() + causes.bad_exits
+    found += await _check_continuations(caller_pool, guarantees)
+    found += guarantees.check() + injector.bad_exits
   finally:
     for daemon in fleet:
       if daemon.process is not None:
         await daemon.kill()
       if daemon.link is not None:
         await daemon.link.stop()
-    await around.stop()
+    await environment.stop()
     hosts.close()
-  statuses = sorted({made.status for made in seen.tries})
-  told = {s: sum(made.status == s for made in seen.tries) for s in statuses}
-  print(f'seed {seed}: {len(seen.tries)} tries {told}, {dict(causes.counts)}')
+  statuses = sorted({attempt.status for attempt in caller_pool.attempts})
+  count_by_status = {
+    s: sum(attempt.status == s for attempt in caller_pool.attempts)
+    for s in statuses
+  }
+  print(
+    f'seed {seed}: {len(caller_pool.attempts)} tries {count_by_status}, '
+    f'{dict(injector.counts)}'
+  )
   return list(dict.fromkeys(found))
 
 
-async def _play(seen, causes, checks, seconds) -> list[str]:
-  calling = asyncio.ensure_future(seen.run())
-  causing = asyncio.ensure_future(causes.run())
+async def _run_faults(caller_pool, injector, guarantees, seconds) -> list[str]:
+  caller_task = asyncio.ensure_future(caller_pool.run())
+  fault_task = asyncio.ensure_future(injector.run())
   until = time.monotonic() + seconds
   found: list[str] = []
-  while time.monotonic() < until and not found and not calling.done():
+  while time.monotonic() < until and not found and not caller_task.done():
     await asyncio.sleep(0.5)
-    found = checks.check()
-  causing.cancel()
-  await causes.heal()
-  seen.is_stopped = True
-  await calling
+    found = guarantees.check()
+  fault_task.cancel()
+  await injector.heal()
+  caller_pool.is_stopped = True
+  await caller_task
   return found
 
 
-async def _ask_last(seen, checks) -> list[str]:
-  """Returns which of the newest turns nobody can continue any more."""
-  left = checks.find_last_whole(TURNS_ASKED)
-  until = time.monotonic() + RETURN_SECONDS
+async def _check_continuations(caller_pool, guarantees) -> list[str]:
+  """Returns a violation for each recent turn that cannot be continued."""
+  failing = guarantees.find_recent_turns(CHECKED_TURNS)
+  until = time.monotonic() + CONTINUE_TIMEOUT_SECONDS
   async with aiohttp.ClientSession() as session:
-    while left and time.monotonic() < until:
-      found = [(turn, await seen.ask_last(session, turn)) for turn in left]
-      left = [turn for turn, made in found if made.status != 200]
-  return [f'{turn.request} cannot be continued any more' for turn in left]
+    while failing and time.monotonic() < until:
+      found = [
+        (turn, await caller_pool.continue_turn(session, turn))
+        for turn in failing
+      ]
+      failing = [turn for turn, attempt in found if attempt.status != 200]
+  return [f'{turn.request} can no longer be continued' for turn in failing]
 
 
 async def _wait_ready(fleet: list[daemons.Daemon]) -> None:
   async with aiohttp.ClientSession() as session:
-    async with asyncio.timeout(READY_SECONDS):
+    async with asyncio.timeout(READY_TIMEOUT_SECONDS):
       for daemon in fleet:
         while not await daemon.is_ready(session):
           await asyncio.sleep(0.1)
@@ -110,7 +121,7 @@
 async def _run(
   seed: int, options: argparse.Namespace, folder: pathlib.Path
 ) -> list[str]:
-  # Whoever ends the soak ends its daemons too.
+  # Stops the daemons too when the soak is terminated.
   task = asyncio.current_task()
   asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
   return await soak(
@@ -122,7 +133,7 @@
 
 
 def main() -> int:
-  """Returns 1 where a promise was broken."""
+  """Returns 1 if a guarantee was violated, 0 otherwise."""
   parser = argparse.ArgumentParser(description=__doc__)
   parser.add_argument('--seed', type=int, default=1)
   parser.add_argument('--seeds', type=int, default=1, help='how many in a row')
@@ -130,9 +141,9 @@
   parser.add_argument('--daemons', type=int, default=6)
   parser.add_argument('--folder', type=pathlib.Path, help='where logs go')
   options = parser.parse_args()
-  # Instances notice callers that are gone; that is no news here.
+  # Instances log each disconnected caller, which the faults make common.
   logging.getLogger('aiohttp.server').setLevel(logging.CRITICAL)
-  is_broken = False
+  has_violations = False
   for seed in range(options.seed, options.seed + options.seeds):
     folder = pathlib.Path(
       tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=options.folder)
@@ -142,10 +153,10 @@
       print(f'seed {seed}: BROKEN: {violation}')
     if found:
       print(f'seed {seed}: logs in {folder}')
-      is_broken = True
+      has_violations = True
     else:
       shutil.rmtree(folder)
-  return 1 if is_broken else 0
+  return 1 if has_violations else 0
 
 
 if __name__ == '__main__':
--- a/bench/fleet_soak/callers.py
+++ b/bench/fleet_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: programs of turns and calls, told of the daemons by a balancer."""
+"""Callers: programs of turns and calls, balanced over the ready daemons."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from fleet_soak import daemons
 from fleet_soak import outside
 
-PROMISES = (402, 408, 421, 429, 503)
-DEADLINE_SECONDS = 4.0
-TRIES = 6
-BUDGET, MOST = 60, 8
+NOT_RUN_STATUSES = (402, 408, 421, 429, 503)
+REQUEST_TIMEOUT_SECONDS = 4.0
+MAX_ATTEMPTS = 6
+BUDGET, MAX_TOKENS = 60, 8
 
 
 @dataclasses.dataclass(kw_only=True)
-class Try:
-  """One request as its caller saw it.
+class Attempt:
+  """An attempt of a request, as its caller saw it.
 
-  `status` is 0 where the answer is missing or torn.  `input` is what was
-  sent, `parent` the turn that it continues from, `daemon` who took it.
+  `status` is 0 if the answer is missing or incomplete.  `input` is the body
+  that was sent, `parent` the turn that the request continues, `daemon` the
+  daemon to which the request was sent.
   """
 
   request: str
@@ -41,96 +42,100 @@
 
 
 class Callers:
-  """All callers; `tries` has what they saw."""
+  """All callers; `attempts` has the requests that they sent."""
 
   def __init__(
     self, *, fleet: list[daemons.Daemon], seed: int, count: int
   ) -> None:
     self.fleet = fleet
-    self.tries: list[Try] = []
+    self.attempts: list[Attempt] = []
     self.is_stopped = False
     self._ready: list[daemons.Daemon] = []
-    self._chance = random.Random(f'callers/{seed}')
+    self._rng = random.Random(f'callers/{seed}')
     self._count = count
     self._ids = 0
 
   async def run(self) -> None:
-    """Runs programs until `is_stopped`."""
+    """Runs programs until `is_stopped` is set."""
     connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=10)
     async with aiohttp.ClientSession(connector=connector) as session:
-      balancer = asyncio.ensure_future(self._balance(session))
+      poller = asyncio.ensure_future(self._poll_readiness(session))
       try:
         await asyncio.gather(
-          *(self._keep_calling(session) for _ in range(self._count))
+          *(self._run_programs(session) for _ in range(self._count))
         )
       finally:
-        balancer.cancel()
-
-  async def ask_last(self, session: aiohttp.ClientSession, found: Try) -> Try:
-    """Returns a try to continue from a turn that was answered whole."""
-    await self._look(session)
-    return await self._try(
+        poller.cancel()
+
+  async def continue_turn(
+    self, session: aiohttp.ClientSession, attempt: Attempt
+  ) -> Attempt:
+    """Sends a turn that continues a complete one, and returns the attempt."""
+    await self._update_ready_daemons(session)
+    return await self._send(
       session,
       path=f'{outside.CHAT}x',
-      program=f'after-{found.request}',
+      program=f'after-{attempt.request}',
       input=b'<after>',
-      parent=found.request,
+      parent=attempt.request,
     )
 
-  async def _balance(self, session: aiohttp.ClientSession) -> None:
+  async def _poll_readiness(self, session: aiohttp.ClientSession) -> None:
     while True:
-      await self._look(session)
+      await self._update_ready_daemons(session)
       await asyncio.sleep(0.5)
 
-  async def _look(self, session: aiohttp.ClientSession) -> None:
+  async def _update_ready_daemons(self, session: aiohttp.ClientSession) -> None:
     found = await asyncio.gather(*(d.is_ready(session) for d in self.fleet))
-    ready = [d for d, is_in in zip(self.fleet, found, strict=True) if is_in]
+    ready = [
+      d for d, is_ready in zip(self.fleet, found, strict=True) if is_ready
+    ]
     self._ready = ready or list(self.fleet)
 
-  async def _keep_calling(self, session: aiohttp.ClientSession) -> None:
+  async def _run_programs(self, session: aiohttp.ClientSession) -> None:
     while not self.is_stopped:
       await self._run_program(session)
 
   async def _run_program(self, session: aiohttp.ClientSession) -> None:
     program = self._make_id()
     parent = ''
-    for _ in range(self._chance.randint(2, 12)):
+    for _ in range(self._rng.randint(2, 12)):
       if self.is_stopped:
         return
-      turn = await self._insist(
+      turn = await self._send_with_retries(
         session, f'{outside.CHAT}x', program, f'<{program}>'.encode(), parent
       )
       if turn is None:
         return
       parent = turn.request
-      path = self._chance.choice((outside.ACT, outside.LOOK))
-      await self._insist(session, f'{path}x', program, b'do', '')
-      await asyncio.sleep(self._chance.uniform(0.02, 0.2))
+      path = self._rng.choice((outside.ACT, outside.LOOK))
+      await self._send_with_retries(session, f'{path}x', program, b'do', '')
+      await asyncio.sleep(self._rng.uniform(0.02, 0.2))
 
-  async def _insist(
+  async def _send_with_retries(
     self,
     session: aiohttp.ClientSession,
     path: str,
     program: str,
     input: bytes,
     parent: str,
-  ) -> Try | None:
-    """Returns the try that was answered whole, if any was."""
-    for _ in range(TRIES):
-      found = await self._try(
+  ) -> Attempt | None:
+    """Retries a request; returns the attempt that succeeded, or None."""
+    for _ in range(MAX_ATTEMPTS):
+      attempt = await self._send(
         session, path=path, program=program, input=input, parent=parent
       )
-      if found.status == 200:
-        return found
-      may_repeat = not path.startswith(outside.ACT)
-      if found.status in (402, 404) or not (
-        may_repeat or found.status in PROMISES
+      if attempt.status == 200:
+        return attempt
+      is_repeatable = not path.startswith(outside.ACT)
+      if attempt.status in (402, 404) or not (
+        is_repeatable or attempt.status in NOT_RUN_STATUSES
       ):
         return None
-      await asyncio.sleep(self._chance.uniform(0.1, 0.4))
+      await asyncio.sleep(self._rng.uniform(0.1, 0.4))
     return None
 
-  async def _try(
+  async def _send(
     self,
     session: aiohttp.ClientSession,
     *,
@@ -138,9 +143,9 @@
     program: str,
     input: bytes,
     parent: str,
-  ) -> Try:
-    daemon = self._chance.choice(self._ready or self.fleet)
-    made = Try(
+  ) -> Attempt:
+    daemon = self._rng.choice(self._ready or self.fleet)
+    attempt = Attempt(
       request=self._make_id(),
       path=path,
       program=program,
@@ -149,41 +154,41 @@
       daemon=daemon,
       began=time.monotonic(),
     )
-    self.tries.append(made)
+    self.attempts.append(attempt)
     try:
       async with session.request(
         'GET' if path.startswith(outside.LOOK) else 'POST',
         f'http://{daemon.host}:{daemons.FRONT_PORT}{path}',
         data=input if not path.startswith(outside.LOOK) else None,
-        headers=_get_headers(made),
-        timeout=aiohttp.ClientTimeout(total=DEADLINE_SECONDS + 0.5),
+        headers=_get_headers(attempt),
+        timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS + 0.5),
       ) as response:
         async for chunk in response.content.iter_any():
-          made.body += chunk
-          made.tokens = made.body.count(b'data:')
-        made.status = response.status
-        made.signature = response.headers.get('Server-Signature', '')
+          attempt.body += chunk
+          attempt.tokens = attempt.body.count(b'data:')
+        attempt.status = response.status
+        attempt.signature = response.headers.get('Server-Signature', '')
     except (TimeoutError, aiohttp.ClientError, OSError):
-      made.status = 0
-    made.ended = time.monotonic()
-    return made
+      attempt.status = 0
+    attempt.ended = time.monotonic()
+    return attempt
 
   def _make_id(self) -> str:
     self._ids += 1
     return f'{self._ids:016x}'
 
 
-def _get_headers(made: Try) -> dict[str, str]:
+def _get_headers(attempt: Attempt) -> dict[str, str]:
   headers = {
     'Host': 'soak',
-    'Request-Id': made.request,
-    'Program-Id': made.program,
-    'Deadline-Ms': str(int(DEADLINE_SECONDS * 1000)),
+    'Request-Id': attempt.request,
+    'Program-Id': attempt.program,
+    'Deadline-Ms': str(int(REQUEST_TIMEOUT_SECONDS * 1000)),
   }
-  if made.path.startswith(outside.CHAT):
-    headers['Token-Usage'] = f'100,{MOST}'
+  if attempt.path.startswith(outside.CHAT):
+    headers['Token-Usage'] = f'100,{MAX_TOKENS}'
     headers['Token-Budget'] = str(BUDGET)
-    headers['Session-Id'] = made.program
-  if made.parent:
-    headers['Previous-Turn'] = made.parent
+    headers['Session-Id'] = attempt.program
+  if attempt.parent:
+    headers['Previous-Turn'] = attempt.parent
   return headers
--- a/bench/fleet_soak/daemons.py
+++ b/bench/fleet_soak/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons under test: processes with settings and a way to the store."""
+"""The daemons under test: processes that reach the store through a proxy."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 FRONT_PORT, READY_PORT, PEERS_PORT = 8149, 8141, 7380
 GRACE_SECONDS = 8.0
-POLL_SECONDS = 0.02
+POLL_INTERVAL_SECONDS = 0.02
 
 
 class Daemon:
-  """One daemon; it is started again by whoever ended it.
+  """A daemon; the fault that stops it also restarts it.
 
-  `disturbances` are the times at which faults that were not planned touched
-  it, `leavings` when it was asked to stop.
+  `fault_times` are the times of the daemon's unplanned faults, `stop_times` the
+  times of its graceful stops.
   """
 
   def __init__(
@@ -35,14 +35,14 @@
     self.host = host
     self.process: subprocess.Popen[bytes] | None = None
     self.link: proxy.Proxy | None = None
-    self.disturbances: list[float] = []
-    self.leavings: list[float] = []
+    self.fault_times: list[float] = []
+    self.stop_times: list[float] = []
     self.is_frozen = False
     self._settings = folder / f'{self.name}.json'
     self._log = (folder / f'{self.name}.log').open('ab')
 
   async def start(self, store: tuple[str, int]) -> None:
-    """Starts the process, and its link to the store the first time."""
+    """Starts the process, and on the first start its proxy to the store."""
     if self.link is None:
       self.link = proxy.Proxy(target=store)
       await self.link.start(self.host)
@@ -59,9 +59,9 @@
       'bounds': {'grace_s': GRACE_SECONDS},
     }
     self._settings.write_text(json.dumps(settings))
-    # Begun without a pause, so that no process is left to nobody; in a process
-    # group of its own, since the kernel wakes the frozen members of a group
-    # whose starter ends.
+    # Started without an await, so that a cancellation leaves no process behind.
+    # The process has a group of its own, since the kernel resumes the stopped
+    # members of a process group whose starter exits.
     self.process = subprocess.Popen(  # noqa: ASYNC220
       [sys.executable, '-m', 'woadrun.platform'],
       process_group=0,
@@ -70,41 +70,44 @@
       env={**os.environ, 'WOADRUN_CONFIG': str(self._settings)},
     )
 
-  def disturb(self) -> None:
-    """Notes that a fault touches the daemon now."""
-    self.disturbances.append(time.monotonic())
+  def record_fault(self) -> None:
+    """Records that a fault affects the daemon now."""
+    self.fault_times.append(time.monotonic())
 
-  def is_calm(self, since: float, until: float) -> bool:
-    """Returns whether no fault touched the daemon in between."""
-    return not any(since <= at <= until for at in self.disturbances)
+  def is_fault_free(self, since: float, until: float) -> bool:
+    """Returns whether no fault affected the daemon between two times."""
+    return not any(since <= at <= until for at in self.fault_times)
 
   async def kill(self) -> None:
-    """Ends the process at once."""
-    self.disturb()
+    """Kills the process and waits for its exit."""
+    self.record_fault()
     self.process.kill()
     await self._wait()
     self.is_frozen = False
 
   def freeze(self) -> None:
-    """Stops the process without its notice."""
-    self.disturb()
+    """Suspends the process with SIGSTOP."""
+    self.record_fault()
     self.is_frozen = True
     self.process.send_signal(signal.SIGSTOP)
 
-  def wake(self) -> None:
-    """Lets a frozen process go on."""
-    self.disturb()
+  def resume(self) -> None:
+    """Resumes a suspended process."""
+    self.record_fault()
     self.is_frozen = False
     self.process.send_signal(signal.SIGCONT)
 
   async def _wait(self) -> int:
     while (code := self.process.poll()) is None:
-      await asyncio.sleep(POLL_SECONDS)
+      await asyncio.sleep(POLL_INTERVAL_SECONDS)
     return code
 
-  async def leave(self) -> int:
-    """Returns the exit code of a planned stop, -9 past the grace."""
-    self.leavings.append(time.monotonic())
+  async def stop(self) -> int:
+    """Stops the process gracefully and returns its exit code.
+
+    Kills the process and returns -9 if the grace period ends before its exit.
+    """
+    self.stop_times.append(time.monotonic())
     self.process.send_signal(signal.SIGTERM)
     try:
       return await asyncio.wait_for(self._wait(), GRACE_SECONDS)
@@ -113,7 +116,7 @@
       return -9
 
   async def is_ready(self, session: aiohttp.ClientSession) -> bool:
-    """Returns whether the daemon takes new callers."""
+    """Returns whether the daemon is ready for callers."""
     url = f'http://{self.host}:{READY_PORT}/-/ready'
     timeout = aiohttp.ClientTimeout(total=0.5)
     try:
--- a/bench/fleet_soak/faults.py
+++ b/bench/fleet_soak/faults.py
@@ -1,4 +1,4 @@
-"""Random faults, several at a time, each of which ends by itself."""
+"""Random faults, several at a time, each of limited duration."""
 
 from __future__ import annotations
 
@@ -11,38 +11,39 @@
 from fleet_soak import daemons
 from fleet_soak import outside
 
-# Between the begins of two faults, in seconds: most last longer than that.
-LEAST_PAUSE, MOST_PAUSE = 0.3, 2.5
-LONGEST = 5.0
+# Range of the interval between the starts of two faults; most faults last
+# longer than that, so that faults overlap.
+MIN_INTERVAL_SECONDS, MAX_INTERVAL_SECONDS = 0.3, 2.5
+MAX_FAULT_SECONDS = 5.0
 
 
 class Faults:
-  """Causes faults from a seed; `heal` ends them all.
+  """Injects random faults from a seed; `heal` waits until all of them ended.
 
-  At most `MOST_DOWN` of the daemons are killed or frozen at a time, so that
-  each turn that was kept without the store has a second copy.
+  At most `MAX_DOWN` daemons are killed or frozen at a time, so that each turn
+  that is not yet in the store has a second copy.
   """
 
-  MOST_DOWN = 1
+  MAX_DOWN = 1
 
   def __init__(
     self,
     *,
     fleet: list[daemons.Daemon],
-    around: outside.Outside,
+    environment: outside.Outside,
     seed: int,
   ) -> None:
     self.counts: collections.Counter[str] = collections.Counter()
     self.bad_exits: list[str] = []
     self._fleet = fleet
-    self._around = around
-    self._chance = random.Random(f'faults/{seed}')
+    self._environment = environment
+    self._rng = random.Random(f'faults/{seed}')
     self._running: set[asyncio.Task[None]] = set()
-    self._down = asyncio.Semaphore(self.MOST_DOWN)
+    self._down_limit = asyncio.Semaphore(self.MAX_DOWN)
     self._store_fault = asyncio.Lock()
 
   async def run(self) -> None:
-    """Begins one fault after the other until it is cancelled."""
+    """Starts faults at random intervals until cancelled."""
     kinds: list[Callable[[], Awaitable[None]]] = [
       self._kill,
       self._freeze,
@@ -58,120 +59,123 @@
       self._reset_instance,
     ]
     while True:
-      await asyncio.sleep(self._chance.uniform(LEAST_PAUSE, MOST_PAUSE))
-      kind = self._chance.choice(kinds)
+      await asyncio.sleep(
+        self._rng.uniform(MIN_INTERVAL_SECONDS, MAX_INTERVAL_SECONDS)
+      )
+      kind = self._rng.choice(kinds)
       self.counts[kind.__name__.strip('_')] += 1
       task = asyncio.ensure_future(kind())
       self._running.add(task)
       task.add_done_callback(self._running.discard)
 
   async def heal(self) -> None:
-    """Returns once no fault lasts and all daemons run."""
+    """Waits until no fault lasts and all daemons run, then heals the links."""
     if self._running:
       await asyncio.wait(set(self._running))
     for daemon in self._fleet:
       daemon.link.heal()
 
-  async def _last(self) -> None:
-    await asyncio.sleep(self._chance.uniform(0.2, LONGEST))
+  async def _wait_fault(self) -> None:
+    await asyncio.sleep(self._rng.uniform(0.2, MAX_FAULT_SECONDS))
 
-  def _disturb_all(self) -> None:
+  def _record_fault_of_all(self) -> None:
     for daemon in self._fleet:
-      daemon.disturb()
+      daemon.record_fault()
 
   # --- Daemons --------------------------------------------------------------
 
   async def _kill(self) -> None:
-    daemon = self._chance.choice(self._fleet)
-    async with self._down:
+    daemon = self._rng.choice(self._fleet)
+    async with self._down_limit:
       await daemon.kill()
-      await asyncio.sleep(self._chance.uniform(0.1, 2.0))
-      await daemon.start(self._around.store)
-      # Its copies are back at two daemons once others have written to it.
+      await asyncio.sleep(self._rng.uniform(0.1, 2.0))
+      await daemon.start(self._environment.store_address)
+      # Leaves time for other daemons to replicate turns to the new process, so
+      # that each turn has two copies again.
       await asyncio.sleep(2.0)
 
   async def _freeze(self) -> None:
-    daemon = self._chance.choice(self._fleet)
-    async with self._down:
+    daemon = self._rng.choice(self._fleet)
+    async with self._down_limit:
       daemon.freeze()
       try:
-        await self._last()
+        await self._wait_fault()
       finally:
-        daemon.wake()
+        daemon.resume()
       await asyncio.sleep(1.0)
 
   async def _stop(self) -> None:
-    daemon = self._chance.choice(self._fleet)
-    async with self._down:
-      code = await daemon.leave()
-      since = daemon.leavings[-1] - 4.0
-      if code and daemon.is_calm(since, float('inf')):
+    daemon = self._rng.choice(self._fleet)
+    async with self._down_limit:
+      code = await daemon.stop()
+      since = daemon.stop_times[-1] - 4.0
+      if code and daemon.is_fault_free(since, float('inf')):
         self.bad_exits.append(f'{daemon.name} ended with {code}')
-      await daemon.start(self._around.store)
+      await daemon.start(self._environment.store_address)
       await asyncio.sleep(2.0)
 
-  # --- Ways to the store ----------------------------------------------------
+  # --- Links to the store ---------------------------------------------------
 
   async def _cut_link(self) -> None:
-    daemon = self._chance.choice(self._fleet)
-    is_deaf = self._chance.random() < 0.5
-    daemon.link.is_deaf |= is_deaf
-    daemon.link.is_mute |= not is_deaf
-    await self._disturb_while(daemon)
+    daemon = self._rng.choice(self._fleet)
+    drops_requests = self._rng.random() < 0.5
+    daemon.link.drops_requests |= drops_requests
+    daemon.link.drops_responses |= not drops_requests
+    await self._record_fault_while(daemon)
     daemon.link.heal()
-    daemon.disturb()
+    daemon.record_fault()
 
   async def _slow_link(self) -> None:
-    daemon = self._chance.choice(self._fleet)
-    daemon.link.delay = self._chance.uniform(0.05, 0.5)
-    await self._disturb_while(daemon)
+    daemon = self._rng.choice(self._fleet)
+    daemon.link.delay = self._rng.uniform(0.05, 0.5)
+    await self._record_fault_while(daemon)
     daemon.link.delay = 0.0
-    daemon.disturb()
+    daemon.record_fault()
 
   async def _reset_link(self) -> None:
-    daemon = self._chance.choice(self._fleet)
-    daemon.disturb()
+    daemon = self._rng.choice(self._fleet)
+    daemon.record_fault()
     daemon.link.reset()
 
-  async def _disturb_while(self, daemon: daemons.Daemon) -> None:
-    rest = self._chance.uniform(0.2, LONGEST)
-    while rest > 0:
-      daemon.disturb()
-      await asyncio.sleep(min(1.0, rest))
-      rest -= 1.0
+  async def _record_fault_while(self, daemon: daemons.Daemon) -> None:
+    remaining = self._rng.uniform(0.2, MAX_FAULT_SECONDS)
+    while remaining > 0:
+      daemon.record_fault()
+      await asyncio.sleep(min(1.0, remaining))
+      remaining -= 1.0
 
   # --- The store ------------------------------------------------------------
 
   async def _store_out(self) -> None:
-    await self._disturb_store('is_out', True, False)
+    await self._apply_store_fault('is_out', True, False)
 
   async def _store_slow(self) -> None:
-    await self._disturb_store('delay', self._chance.uniform(0.1, 0.6), 0.0)
+    await self._apply_store_fault('delay', self._rng.uniform(0.1, 0.6), 0.0)
 
   async def _store_loses(self) -> None:
-    await self._disturb_store('loses_answers', True, False)
+    await self._apply_store_fault('loses_answers', True, False)
 
-  async def _disturb_store(self, name, fault, calm) -> None:
+  async def _apply_store_fault(self, name, fault, normal) -> None:
     async with self._store_fault:
-      setattr(self._around.kept, name, fault)
-      rest = self._chance.uniform(0.2, LONGEST)
-      while rest > 0:
-        self._disturb_all()
-        await asyncio.sleep(min(1.0, rest))
-        rest -= 1.0
-      setattr(self._around.kept, name, calm)
-      self._disturb_all()
+      setattr(self._environment.memory_rows, name, fault)
+      remaining = self._rng.uniform(0.2, MAX_FAULT_SECONDS)
+      while remaining > 0:
+        self._record_fault_of_all()
+        await asyncio.sleep(min(1.0, remaining))
+        remaining -= 1.0
+      setattr(self._environment.memory_rows, name, normal)
+      self._record_fault_of_all()
 
-  # --- What the operator does, and instances --------------------------------
+  # --- Operator and instances -----------------------------------------------
 
   async def _configure(self) -> None:
-    await self._around.configure(self._chance.choice(('tools', 'other')))
+    await self._environment.configure(self._rng.choice(('tools', 'other')))
 
   async def _replace(self) -> None:
-    await self._around.replace(
-      self._chance.choice(('models', 'tools', 'other'))
+    await self._environment.replace(
+      self._rng.choice(('models', 'tools', 'other'))
     )
 
   async def _reset_instance(self) -> None:
-    self._disturb_all()
-    self._chance.choice(self._around.instances).proxy.reset()
+    self._record_fault_of_all()
+    self._rng.choice(self._environment.instances).proxy.reset()
--- a/bench/fleet_soak/outside.py
+++ b/bench/fleet_soak/outside.py
@@ -1,4 +1,4 @@
-"""What is outside of the daemons: the store and the instances of services."""
+"""The environment of the daemons: the store and the instances of services."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from woadrun.platform import standin
 from woadrun.standins import rows as memory
 
-# The routes of the callers.  `v` in a signature is the service that ran it.
+# Path prefixes of the routes.
 CHAT, ACT, LOOK = '/chat/', '/act/', '/look/'
-DRAIN_SECONDS = 2.0
+DRAIN_TIMEOUT_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Run:
-  """A request that an instance began to work on."""
+  """A request that an instance started to run."""
 
   request: str
   instance: str
@@ -34,10 +34,10 @@
 
 
 class Instance:
-  """One start of a service's instance, behind a proxy of its own."""
+  """An instance of a service, behind a proxy of its own."""
 
   def __init__(
-    self, *, id: str, service: str, host: str, chance: random.Random
+    self, *, id: str, service: str, host: str, rng: random.Random
   ) -> None:
     self.id = id
     self.service = service
@@ -45,12 +45,12 @@
     self.runs: list[Run] = []
     self.events_by_request: dict[str, int] = {}
     self.drained_at: float | None = None
-    self._chance = chance
+    self._rng = rng
     self._runner: web.AppRunner | None = None
     self.proxy: proxy.Proxy | None = None
 
   async def start(self) -> None:
-    """Listens, itself and behind its proxy."""
+    """Starts the server and its proxy."""
     server = web.Server(self._answer, access_log=None)
     self._runner = web.ServerRunner(server, shutdown_timeout=0.1)
     await self._runner.setup()
@@ -61,12 +61,12 @@
     await self.proxy.start(self.host)
 
   async def stop(self) -> None:
-    """Ends at once."""
+    """Stops the proxy and the server."""
     await self.proxy.stop()
     await self._runner.cleanup()
 
   def get_row(self, domain: str) -> bytes:
-    """Returns the instance's entry in the platform's list."""
+    """Returns the instance's row in the platform's list of instances."""
     entry = {
       'service': self.service,
       'address': self.proxy.address,
@@ -93,15 +93,15 @@
     self.runs.append(run)
     echo['Server-Signature'] = f'{self.service}.{self.id}.{request}'
     if not http.path.startswith(CHAT):
-      await asyncio.sleep(self._chance.uniform(0.01, 0.15))
+      await asyncio.sleep(self._rng.uniform(0.01, 0.15))
       return web.Response(body=f'done {request}'.encode(), headers=echo)
     response = web.StreamResponse(headers=echo)
     response.content_type = 'text/event-stream'
     await response.prepare(http)
-    count = self._chance.randint(2, 6)
+    count = self._rng.randint(2, 6)
     self.events_by_request[request] = count
     for number in range(count):
-      await asyncio.sleep(self._chance.uniform(0.01, 0.06))
+      await asyncio.sleep(self._rng.uniform(0.01, 0.06))
       await response.write(
         f'id: {number}\ndata: {request}-{number}\n\n'.encode()
       )
@@ -110,49 +110,49 @@
 
 
 class Outside:
-  """The store and all instances; what changes is written to the store."""
+  """The store and all instances; writes changes of both to the store."""
 
   def __init__(
     self, *, domains: tuple[str, ...], seed: int, hosts: network.Network
   ) -> None:
     self._hosts = hosts
-    self.kept = memory.MemoryRows()
+    self.memory_rows = memory.MemoryRows()
     self.instances: list[Instance] = []
     self._domains = domains
-    self._chance = random.Random(f'outside/{seed}')
+    self._rng = random.Random(f'outside/{seed}')
     self._runner: web.AppRunner | None = None
-    self.store = ('', 0)
+    self.store_address = ('', 0)
     self.version = 0
-    # (acknowledged at, version, service of the actions)
+    # Tuples of acknowledgement time, version, and service of the action route.
     self.configs: list[tuple[float, int, str]] = []
 
   async def start(self) -> None:
-    """Serves the store and three instances of each service."""
-    application = standin.StoreServer(kept=self.kept).make_application()
+    """Starts the store and three instances of each service."""
+    application = standin.StoreServer(kept=self.memory_rows).make_application()
     self._runner = web.AppRunner(
       application, access_log=None, shutdown_timeout=0.1
     )
     await self._runner.setup()
     await web.TCPSite(self._runner, self._hosts.get_host(1, 0), 0).start()
-    self.store = self._runner.addresses[0][:2]
+    self.store_address = self._runner.addresses[0][:2]
     await self.configure('tools')
     for service in ('models', 'tools', 'other'):
       for _ in range(3):
         await self.add(service)
 
   async def stop(self) -> None:
-    """Ends all of it."""
+    """Stops all instances and the store."""
     for instance in self.instances:
       await instance.stop()
     await self._runner.cleanup()
 
   @property
   def runs(self) -> list[Run]:
-    """All that was run so far."""
+    """All requests that instances started to run so far."""
     return [run for item in self.instances for run in item.runs]
 
   async def configure(self, service: str) -> None:
-    """Puts a configuration in force by which a service runs the actions."""
+    """Writes a configuration that routes actions to a service."""
     self.version += 3
     config = {
       'version': self.version,
@@ -168,45 +168,49 @@
     self.configs.append((time.monotonic(), self.version, service))
 
   async def add(self, service: str) -> None:
-    """Starts an instance."""
+    """Starts an instance and writes its row."""
     number = len(self.instances)
     instance = Instance(
       id=f'i-{number}',
       service=service,
       host=self._hosts.get_host(2, number),
-      chance=self._chance,
+      rng=self._rng,
     )
     self.instances.append(instance)
     await instance.start()
-    await self._put(instance)
+    await self._write_row(instance)
 
   async def replace(self, service: str) -> None:
-    """Lets an instance leave as planned, once another one is there."""
-    staying = [
+    """Drains a random instance of a service after it adds a new one."""
+    candidates = [
       item
       for item in self.instances
       if item.service == service and item.drained_at is None
     ]
     await self.add(service)
-    leaving = self._chance.choice(staying)
-    leaving.drained_at = time.monotonic()
-    await self._put(leaving)
-    leaving.drained_at = time.monotonic()
+    instance = self._rng.choice(candidates)
+    instance.drained_at = time.monotonic()
+    await self._write_row(instance)
+    instance.drained_at = time.monotonic()
 
-  async def _put(self, instance: Instance) -> None:
+  async def _write_row(self, instance: Instance) -> None:
     number = self.instances.index(instance)
     domain = self._domains[number % len(self._domains)]
     key = rows.Key('servers', '', instance.id)
     await self._write([(key, instance.get_row(domain))])
 
   async def _write(self, writes: list[tuple[rows.Key, bytes]]) -> None:
-    # The operator's own writes get through whatever the daemons meet.
-    kept = self.kept
-    was_out, kept.is_out = kept.is_out, False
-    lost, kept.loses_answers = kept.loses_answers, False
-    delay, kept.delay = kept.delay, 0.0
-    await kept.change(writes=writes)
-    kept.is_out, kept.loses_answers, kept.delay = was_out, lost, delay
+    # The operator's writes succeed despite faults of the store.
+    memory_rows = self.memory_rows
+    was_out, memory_rows.is_out = memory_rows.is_out, False
+    lost, memory_rows.loses_answers = memory_rows.loses_answers, False
+    delay, memory_rows.delay = memory_rows.delay, 0.0
+    await memory_rows.change(writes=writes)
+    memory_rows.is_out, memory_rows.loses_answers, memory_rows.delay = (
+      was_out,
+      lost,
+      delay,
+    )
 
 
 def _make_route(name, prefix, kind, service, **options):
--- a/bench/fleet_soak/proxy.py
+++ b/bench/fleet_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts and silences connections."""
+"""A loopback proxy that delays, resets and blocks connections."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class Proxy:
-  """Passes connections on to one address, with faults.
+  """Forwards connections to an address, with faults.
 
-  `delay` holds each piece up, in seconds.  `is_deaf` drops what clients
-  send, `is_mute` what the server answers; connections stay open meanwhile,
-  and those that lost bytes stay silent for good.
+  Each chunk is delayed by `delay` seconds.  `drops_requests` drops the data of
+  clients, `drops_responses` the data of the server.  Connections stay open
+  meanwhile, and one that lost data forwards nothing more in that direction.
   """
 
   def __init__(self, *, target: tuple[str, int]) -> None:
     self.target = target
     self.delay = 0.0
-    self.is_deaf = False
-    self.is_mute = False
+    self.drops_requests = False
+    self.drops_responses = False
     self._server: asyncio.Server | None = None
     self._writers: set[asyncio.StreamWriter] = set()
     self._tasks: set[asyncio.Task[None]] = set()
     self.address = ''
 
   async def start(self, host: str) -> str:
-    """Returns the address once the proxy listens."""
+    """Starts to listen and returns the address."""
     self._server = await asyncio.start_server(self._serve, host, 0)
     port = self._server.sockets[0].getsockname()[1]
     self.address = f'{host}:{port}'
@@ -40,15 +40,15 @@
     self.reset()
 
   def reset(self) -> None:
-    """Breaks all open connections off."""
+    """Aborts all open connections."""
     for writer in list(self._writers):
       writer.transport.abort()
 
   def heal(self) -> None:
-    """Ends all faults; connections that lost bytes are broken off."""
-    was_silent = self.is_deaf or self.is_mute
-    self.delay, self.is_deaf, self.is_mute = 0.0, False, False
-    if was_silent:
+    """Ends all faults; aborts all connections if any may have lost data."""
+    was_dropping = self.drops_requests or self.drops_responses
+    self.delay, self.drops_requests, self.drops_responses = 0.0, False, False
+    if was_dropping:
       self.reset()
 
   async def _serve(
@@ -59,32 +59,32 @@
     task.add_done_callback(self._tasks.discard)
     self._writers.add(writer)
     try:
-      far_reader, far = await asyncio.open_connection(*self.target)
+      target_reader, target_writer = await asyncio.open_connection(*self.target)
     except OSError:
       writer.transport.abort()
       self._writers.discard(writer)
       return
-    self._writers.add(far)
+    self._writers.add(target_writer)
     try:
       await asyncio.gather(
-        self._pass(reader, far, lambda: self.is_deaf),
-        self._pass(far_reader, writer, lambda: self.is_mute),
+        self._forward(reader, target_writer, lambda: self.drops_requests),
+        self._forward(target_reader, writer, lambda: self.drops_responses),
       )
     except asyncio.CancelledError:
-      # The run is over; the server would report it as a failure.
+      # The proxy is stopping; asyncio would log the cancellation as an error.
       return
     finally:
-      for end in (writer, far):
+      for end in (writer, target_writer):
         self._writers.discard(end)
         end.transport.abort()
 
-  async def _pass(self, reader, writer, is_dropped) -> None:
+  async def _forward(self, reader, writer, is_dropping) -> None:
     with contextlib.suppress(OSError):
       while data := await reader.read(65536):
         if self.delay:
           await asyncio.sleep(self.delay)
-        if is_dropped():
-          # A connection that lost bytes says nothing more.
+        if is_dropping():
+          # Forwards nothing more, since the stream has a gap.
           await asyncio.Event().wait()
         writer.write(data)
         await writer.drain()
--- a/bench/groups.py
+++ b/bench/groups.py
@@ -1,9 +1,9 @@
-"""How long a record is on two VMs only, by the number of daemons.
+"""Measures how long records are on two VMs only, by the number of daemons.
 
-Daemons as processes, a platform that takes few writes a second, and
-callers at all daemons: the longest time between a record and the answer
-of the object store that has it, and the store's writes.  Then what it
-costs one daemon to write for 32 others at the target's size.
+Runs daemons as processes, a platform that takes few writes a second, and
+callers at all daemons.  Prints the longest time between a record and the
+acknowledgement of the object store, and the store's writes.  Then measures what
+it costs one daemon to write for 32 others at the target size.
 
 Usage: ./dev python bench/groups.py [--sizes 12 24 48] [--writes 4]
 """
@@ -29,21 +29,21 @@
 from woadrun.version import program
 
 CALLERS = 8
-# At the target: 14 calls/s of 5,000 new bytes for each of 32 daemons, each
-# sending a group in 0.78 s.
+# The target load: each of 32 daemons gets 14 calls/s of 5,000 new bytes, and
+# sends a group every 0.78 s.
 SENDERS = 32
 GROUP_BYTES = 54_600
-GROUP_SECONDS = 0.78
+GROUP_INTERVAL_SECONDS = 0.78
 
 
-async def keep_calling(caller, number, until) -> None:
+async def call_until(caller, number, until) -> None:
   while time.monotonic() < until:
     name = (await caller.start('riders', 50_000))['id']
     for turn in range(5):
       await caller.say(name, f'{number} {turn}', model=local.MODEL)
 
 
-def get_sum(dumps, *keys) -> int:
+def sum_storage(dumps, *keys) -> int:
   values = [d['storage'] for d in dumps]
   for key in keys:
     values = [value[key] for value in values]
@@ -68,22 +68,22 @@
       caller = fleet.make_client(patience=60.0)
       until = time.monotonic() + seconds
       await asyncio.gather(
-        *(keep_calling(caller, n, until) for n in range(CALLERS))
+        *(call_until(caller, n, until) for n in range(CALLERS))
       )
       dumps = [await fleet.dump(n) for n in fleet.nodes]
     finally:
       await fleet.stop()
   groups = [d['storage']['groups'] for d in dumps]
-  objects = get_sum(dumps, 'groups', 'objects')
-  objects -= get_sum(before, 'groups', 'objects')
+  objects = sum_storage(dumps, 'groups', 'objects')
+  objects -= sum_storage(before, 'groups', 'objects')
   writers = len({g['writer'] for g in groups})
   interval = max(g['interval'] for g in groups)
   longest = max(d['storage']['longest'] for d in dumps)
   print(
     f'{size} daemons, {writers} write: interval {interval:.2f} s, longest '
     f'{longest:.2f} s; {objects / seconds:.2f} objects/s of at most '
-    f'{writes / 2:.2f}, {get_sum(dumps, "groups", "joined")} groups joined, '
-    f'{get_sum(dumps, "groups", "detours")} detours',
+    f'{writes / 2:.2f}, {sum_storage(dumps, "groups", "joined")} groups '
+    f'joined, {sum_storage(dumps, "groups", "detours")} detours',
     flush=True,
   )
 
@@ -93,21 +93,21 @@
     outside = await local.start_outside(engines=1)
     fleet = fleets.Fleet(pathlib.Path(folder), outside, has_links=False)
     try:
-      # 256 daemons would share these writes: an interval of 0.78 s.
+      # 256 daemons would share this rate of writes: an interval of 0.78 s.
       node = await fleet.add('north', platform={'writes_per_second': 2.56})
       await fleet.wait_ready()
       links = peers.Peers(session=fleet.session, key=local.PEER_KEY)
       pid = fleets.get_pid(node)
-      idle = await count_core(pid, seconds)
+      idle = await measure_core_share(pid, seconds)
       sending = asyncio.gather(
-        *(keep_sending(links, node.listen, seconds) for _ in range(SENDERS))
+        *(send_groups_for(links, node.listen, seconds) for _ in range(SENDERS))
       )
-      busy = await count_core(pid, seconds)
+      busy = await measure_core_share(pid, seconds)
       await sending
       dump = await fleet.dump(node)
     finally:
       await fleet.stop()
-  rate = SENDERS * GROUP_BYTES / GROUP_SECONDS / 1e6
+  rate = SENDERS * GROUP_BYTES / GROUP_INTERVAL_SECONDS / 1e6
   print(
     f'a writer for {SENDERS} daemons, {rate:.2f} MB/s: {busy - idle:.2f}% of '
     f'a core over {idle:.2f}% idle; {dump["storage"]["groups"]["joined"]} '
@@ -116,14 +116,14 @@
   )
 
 
-async def count_core(pid: int, seconds: float) -> float:
+async def measure_core_share(pid: int, seconds: float) -> float:
   before = processes.get_processor_seconds(pid)
   await asyncio.sleep(seconds)
-  spent = processes.get_processor_seconds(pid) - before
-  return spent / seconds * 100
+  processor_seconds = processes.get_processor_seconds(pid) - before
+  return processor_seconds / seconds * 100
 
 
-async def keep_sending(links, address: str, seconds: float) -> None:
+async def send_groups_for(links, address: str, seconds: float) -> None:
   record = program.Finished(
     program='north.000.p',
     request='r',
@@ -143,7 +143,9 @@
       type=messages.Done,
       timeout=10.0,
     )
-    await asyncio.sleep(max(0, started + GROUP_SECONDS - time.monotonic()))
+    await asyncio.sleep(
+      max(0, started + GROUP_INTERVAL_SECONDS - time.monotonic())
+    )
 
 
 async def main() -> None:
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,8 @@
-"""What the path adds to a call, and what relaying tokens costs.
+"""Measures the latency added to a call, and the cost of relaying tokens.
 
-Runs an engine stand-in, a platform stand-in and two daemons as processes
-of their own, so that each has a processor, and compares calls through a
-gateway and a separate owner with direct calls to the same engine.
+Runs an engine stand-in, a platform stand-in and two daemons as separate
+processes, so that each has a processor, and compares calls through a gateway
+and a separate owner with direct calls to the same engine.
 
 Usage: ./dev python bench/path.py [--calls 300] [--tokens 2000]
 """
@@ -83,7 +83,7 @@
 
 
 async def make_programs(fleet, count):
-  """Returns programs with a gateway that is not their owner."""
+  """Returns tuples of program, gateway that is not the owner, and owner."""
   caller = fleet.make_client()
   found = []
   owner_by_slot = {}
@@ -98,7 +98,7 @@
 
 
 async def compare(fleet, url, count) -> None:
-  direct, through = [], []
+  direct, relayed = [], []
   async with aiohttp.ClientSession() as session:
     programs = await make_programs(fleet, count)
     before = [
@@ -111,7 +111,7 @@
       }  # fmt: skip
       path = '/v1/chat/completions'
       direct.append(await time_call(session, url + path, body, {}))
-      through.append(
+      relayed.append(
         await time_call(
           session, f'http://{node.listen}{path}', body,
           {**HEADERS, 'Woadrun-Program': name},
@@ -121,15 +121,17 @@
       processes.get_processor_seconds(fleets.get_pid(n)) for n in fleet.nodes
     ]
   describe('direct', direct)
-  describe('woadrun', through)
+  describe('woadrun', relayed)
   added = [
-    statistics.median(t[i] - d[i] for d, t in zip(direct, through, strict=True))
+    statistics.median(t[i] - d[i] for d, t in zip(direct, relayed, strict=True))
     for i in (0, 1)
   ]
-  spent = (sum(after) - sum(before)) / count * 1000
+  processor_time = (sum(after) - sum(before)) / count * 1000
   print(f'added at the median: first token {added[0] * 1000:.2f} ms, '
         f'whole {added[1] * 1000:.2f} ms')  # fmt: skip
-  print(f'processor time of both daemons: {spent:.2f} ms for each call')
+  print(
+    f'processor time of both daemons: {processor_time:.2f} ms for each call'
+  )
 
 
 async def relay(fleet, tokens) -> None:
@@ -139,7 +141,7 @@
   ]
   started = time.perf_counter()
 
-  async def one(session, name, node):
+  async def relay_program(session, name, node):
     body = {
       'model': local.MODEL, 'stream': True, 'max_tokens': tokens,
       'woadrun_test_tokens': tokens,
@@ -151,19 +153,21 @@
     )  # fmt: skip
 
   async with aiohttp.ClientSession() as session:
-    await asyncio.gather(*(one(session, n, node) for n, node, _ in programs))
+    await asyncio.gather(
+      *(relay_program(session, n, node) for n, node, _ in programs)
+    )
   seconds = time.perf_counter() - started
   after = [
     processes.get_processor_seconds(fleets.get_pid(n)) for n in fleet.nodes
   ]
   total = tokens * len(programs)
-  spent = sum(after) - sum(before)
+  processor_time = sum(after) - sum(before)
   result = {
     'tokens': total,
     'seconds': round(seconds, 2),
     'tokens_a_second': round(total / seconds),
-    'processor_ms_for_1000_tokens': round(spent / total * 1e6, 2),
-    'tokens_for_a_core_second': round(total / spent),
+    'processor_ms_for_1000_tokens': round(processor_time / total * 1e6, 2),
+    'tokens_for_a_core_second': round(total / processor_time),
   }
   print(json.dumps(result))
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,10 +1,10 @@
-"""How long a failure is felt: recovery figures over repeated runs.
+"""Measures recovery from failures over repeated runs.
 
-- from `kill -9` of an owner to the next call of its program being served,
-  with the platform up and with it out;
-- goodput before, during and after a domain is cut off;
-- the time to normal after an outage of the platform, and its busiest
-  second of writes.
+- The time from `kill -9` of an owner until the next call of its program is
+  served, with the platform up and down.
+- Goodput before, during and after a domain is cut off.
+- The time to normal operation after an outage of the platform, and the highest
+  number of platform requests in one second.
 
 Usage: ./dev python bench/recovery.py [--rounds 5] [--outage 60]
 """
@@ -28,7 +28,7 @@
 from woadrun import errors
 from woadrun.standins import local
 
-FAULTS = (
+CALL_ERRORS = (
   errors.WoadrunError,
   aiohttp.ClientError,
   asyncio.TimeoutError,
@@ -52,12 +52,12 @@
 
 
 async def count_calls(fleet, seconds, nodes) -> float:
-  """Returns the calls a second that callers at some daemons get served."""
+  """Returns the served calls per second of callers at some daemons."""
   served = 0
   until = time.monotonic() + seconds
   caller = fleet.make_client(*nodes, patience=0.0)
 
-  async def one(number):
+  async def call_programs(number):
     nonlocal served
     while time.monotonic() < until:
       try:
@@ -65,10 +65,10 @@
         for turn in range(5):
           await caller.say(name, f'{number} {turn}', model=local.MODEL)
           served += 1
-      except FAULTS:
+      except CALL_ERRORS:
         await asyncio.sleep(0.05)
 
-  await asyncio.gather(*(one(n) for n in range(8)))
+  await asyncio.gather(*(call_programs(n) for n in range(8)))
   return served / seconds
 
 
@@ -85,7 +85,7 @@
         if title == 'after':
           fleet.heal()
           await asyncio.sleep(3.0)
-        # The first seconds of a cut count too, in a figure of their own.
+        # The first seconds of a cut are measured too, as a separate figure.
         if title == 'during':
           rates = await asyncio.gather(
             count_calls(fleet, 6.0, north), count_calls(fleet, 6.0, south)
@@ -111,25 +111,25 @@
       await asyncio.sleep(seconds)
       platform.faults.down = False
       ended = time.monotonic()
-      most, normal = await watch_recovery(fleet, ended)
+      peak_requests, recovery_seconds = await watch_recovery(fleet, ended)
       rate = await load
       print(f'outage of {seconds:.0f} s: {rate:.1f} calls/s served all along; '
-            f'all records kept {normal:.2f} s after its end; busiest second '
-            f'{most} platform requests')  # fmt: skip
+            f'all records kept {recovery_seconds:.2f} s after its end; busiest '
+            f'second {peak_requests} platform requests')  # fmt: skip
 
 
 async def watch_recovery(fleet, ended) -> tuple[int, float]:
   platform = fleet.outside.platform
-  most, normal = 0, 0.0
+  peak_requests, recovery_seconds = 0, 0.0
   for _ in range(6):
     before = platform.requests
     await asyncio.sleep(1.0)
-    most = max(most, platform.requests - before)
+    peak_requests = max(peak_requests, platform.requests - before)
     dumps = [await fleet.dump(n) for n in fleet.nodes]
     is_normal = all(d and not d['storage']['last_error'] for d in dumps)
-    if is_normal and not normal:
-      normal = time.monotonic() - ended
-  return most, normal
+    if is_normal and not recovery_seconds:
+      recovery_seconds = time.monotonic() - ended
+  return peak_requests, recovery_seconds
 
 
 async def main() -> None:
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,7 +1,7 @@
-"""What state costs: memory and time for each thing that a daemon holds.
+"""Measures the memory and time that the state of a daemon costs.
 
-Measures, in one process: programs by size of history, rows of the
-table, upstreams known, and the decisions by how much waits.
+Measures in one process: programs by size of history, rows of the table,
+rosters, choices among upstreams, and a queue by its length.
 
 Usage: ./dev python bench/state.py
 """
@@ -106,8 +106,11 @@
     for number in range(rounds):
       fair.push(make_call(waiting + number))
       fair.pop()
-    micro = (time.perf_counter() - started) / rounds * 1e6
-    print(f'one call in and one out of a queue of {waiting:6}: {micro:.1f} us')
+    microseconds = (time.perf_counter() - started) / rounds * 1e6
+    print(
+      f'one call in and one out of a queue of {waiting:6}: '
+      f'{microseconds:.1f} us'
+    )
 
 
 def make_call(number: int) -> queue.Waiting:
@@ -129,8 +132,8 @@
     started = time.perf_counter()
     for _ in range(rounds):
       routing.choose(candidates, prompt=5000, prefill_rate=8000.0)
-    micro = (time.perf_counter() - started) / rounds * 1e6
-    print(f'one choice among {count:3} upstreams: {micro:.0f} us')
+    microseconds = (time.perf_counter() - started) / rounds * 1e6
+    print(f'one choice among {count:3} upstreams: {microseconds:.0f} us')
 
 
 if __name__ == '__main__':
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -1,8 +1,8 @@
-"""One surge against real daemons, and against engines called directly.
+"""Compares a surge of programs at real daemons with one at the engines.
 
-Confirms the direction of the experiment's result with processes: 12
-daemons of 3 domains and 6 engines with small caches.  The naive version
-are callers that take the engines in turn and send the whole conversation.
+Confirms the direction of the simulated experiment's result with processes: 12
+daemons in 3 domains and 6 engines with small caches.  The naive variant are
+callers that use the engines round-robin and send the whole conversation.
 
 Usage: ./dev python bench/surge.py [--programs 300] [--seed 1]
 """
@@ -36,14 +36,14 @@
 
 
 def draw_shapes(programs, seed):
-  """Returns arrival, turns and pauses of each program."""
-  chance = random.Random(seed)
+  """Returns the arrival time of each program and the pauses after its turns."""
+  rng = random.Random(seed)
   return [
     (
-      chance.uniform(0, ARRIVAL_SECONDS),
+      rng.uniform(0, ARRIVAL_SECONDS),
       [
-        chance.expovariate(2.0)
-        for _ in range(min(30, max(1, round(4 * math.exp(chance.gauss(0, 1))))))
+        rng.expovariate(2.0)
+        for _ in range(min(30, max(1, round(4 * math.exp(rng.gauss(0, 1))))))
       ],
     )
     for _ in range(programs)
@@ -60,15 +60,15 @@
 
 
 class HeldMemory:
-  """Token-seconds that engines hold of programs that are gone."""
+  """Counts the token-seconds that engines hold for ended programs."""
 
   def __init__(self, engines) -> None:
     self.engines = engines
-    self.gone: set[str] = set()
+    self.ended_programs: set[str] = set()
     self.token_seconds = 0.0
 
   async def watch(self) -> None:
-    """Adds up what is held, until cancelled."""
+    """Adds up the held token-seconds until cancelled."""
     last = time.monotonic()
     while True:
       await asyncio.sleep(0.1)
@@ -77,7 +77,7 @@
         tokens
         for part in self.engines
         for salt, tokens in part._cache.items()
-        if salt in self.gone
+        if salt in self.ended_programs
       )
       self.token_seconds += held * (now - last)
       last = now
@@ -87,14 +87,17 @@
   watcher = asyncio.ensure_future(memory.watch())
   started = time.monotonic()
 
-  async def one(number, arrives, pauses):
+  async def run_program(number, arrives, pauses):
     await asyncio.sleep(max(0.0, started + arrives - time.monotonic()))
-    begun = time.monotonic()
+    program_started = time.monotonic()
     await serve_one(number, pauses)
-    return time.monotonic() - begun
+    return time.monotonic() - program_started
 
   seconds = await asyncio.gather(
-    *(one(n, arrives, pauses) for n, (arrives, pauses) in enumerate(shapes))
+    *(
+      run_program(n, arrives, pauses)
+      for n, (arrives, pauses) in enumerate(shapes)
+    )
   )
   await asyncio.sleep(5.0)
   watcher.cancel()
@@ -109,26 +112,26 @@
   engines = make_engines()
   urls = [await part.start() for part in engines]
   memory = HeldMemory(engines)
-  turn_of_all = 0
+  request_count = 0
   async with fleets.aiohttp.ClientSession() as session:
 
     async def serve_one(number, pauses):
-      nonlocal turn_of_all
+      nonlocal request_count
       messages = []
       for turn, pause in enumerate(pauses):
         text = make_text(number, turn)
         messages.append({'role': 'user', 'content': text})
-        turn_of_all += 1
+        request_count += 1
         body = {
           'messages': messages, 'max_tokens': OUTPUT,
           'woadrun_test_tokens': OUTPUT, 'cache_salt': f'p{number}',
         }  # fmt: skip
-        url = f'{urls[turn_of_all % ENGINES]}/v1/chat/completions'
+        url = f'{urls[request_count % ENGINES]}/v1/chat/completions'
         async with session.post(url, json=body) as response:
           answer = client.read_content(await response.read())
         messages.append({'role': 'assistant', 'content': answer})
         await asyncio.sleep(pause)
-      memory.gone.add(f'p{number}')
+      memory.ended_programs.add(f'p{number}')
 
     seconds = await run_all(shapes, serve_one, memory)
   for part in engines:
@@ -136,7 +139,7 @@
   report('naive', seconds, memory)
 
 
-async def run_product(shapes) -> None:
+async def run_daemons(shapes) -> None:
   with tempfile.TemporaryDirectory() as folder:
     outside = await local.start_outside(engines=0)
     outside.engines = make_engines()
@@ -161,7 +164,7 @@
           )  # fmt: skip
           await asyncio.sleep(pause)
         await caller.ask('POST', f'/v1/programs/{name}/end')
-        memory.gone.add(name)
+        memory.ended_programs.add(name)
 
       seconds = await run_all(shapes, serve_one, memory)
       report('woadrun', seconds, memory)
@@ -186,7 +189,7 @@
   arguments = parser.parse_args()
   shapes = draw_shapes(arguments.programs, arguments.seed)
   await run_naive(shapes)
-  await run_product(shapes)
+  await run_daemons(shapes)
 
 
 if __name__ == '__main__':
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import hypothesis
 
-# A slow machine must not turn a test red.
+# A slow machine must not fail a test.
 hypothesis.settings.register_profile(
   'ci',
   derandomize=True,
@@ -12,6 +12,6 @@
 )
 hypothesis.settings.load_profile('ci')
 
-# A run that is told to end ends its daemons, which have process groups of their
-# own.
+# Daemons have process groups of their own, and do not get the SIGTERM of a test
+# run: it raises KeyboardInterrupt here, so that fixtures stop the daemons.
 signal.signal(signal.SIGTERM, signal.default_int_handler)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Real daemons as processes, with kills, freezes and cuts.
+"""Daemons as separate processes, with kills, freezes and network cuts.
 
-Each daemon listens at an IP number of its own and is reached by others
-through a link, which knows both ends by their numbers and can be cut.
+Each daemon listens at an IP address of its own.  Other daemons connect to it
+through a link, a proxy that identifies both ends by IP address and can be cut.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from woadrun.connection import client
 from woadrun.standins import local
 
-READY_SECONDS = 60.0
+READY_TIMEOUT_SECONDS = 60.0
 MODEL = local.MODEL
 
-_numbers = itertools.count(1)
+_node_numbers = itertools.count(1)
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Node:
-  """One daemon: its process and the link that leads to it."""
+  """A daemon: its process, settings and the address of its link."""
 
   host: str
   domain: str
@@ -42,28 +42,28 @@
   process: asyncio.subprocess.Process | None = None
 
   def kill(self) -> None:
-    """Ends the process at once."""
-    self._send(signal.SIGKILL)
+    """Kills the process."""
+    self._send_signal(signal.SIGKILL)
 
   def freeze(self) -> None:
-    """Stops the process without its notice."""
-    self._send(signal.SIGSTOP)
+    """Suspends the process with SIGSTOP."""
+    self._send_signal(signal.SIGSTOP)
 
   def wake(self) -> None:
-    """Lets a frozen process go on."""
-    self._send(signal.SIGCONT)
+    """Resumes a suspended process."""
+    self._send_signal(signal.SIGCONT)
 
   def leave(self) -> None:
-    """Asks for a planned stop."""
-    self._send(signal.SIGTERM)
+    """Requests a graceful stop of the process."""
+    self._send_signal(signal.SIGTERM)
 
-  def _send(self, number: int) -> None:
+  def _send_signal(self, number: int) -> None:
     if self.process is not None and self.process.returncode is None:
       self.process.send_signal(number)
 
 
 class Fleet:
-  """Daemons, their outside systems, and the links between them."""
+  """Daemons, the links between them, and stand-ins of outside systems."""
 
   def __init__(
     self,
@@ -89,8 +89,8 @@
     domains: tuple[str, ...] = ('north',),
     **sections: Any,
   ) -> Node:
-    """Returns a new daemon, whose process is starting."""
-    number = next(_numbers)
+    """Adds a daemon, starts its process, and returns the daemon."""
+    number = next(_node_numbers)
     host = f'127.{os.getpid() % 200 + 1}.{number // 200}.{number % 200 + 1}'
     port = local.get_free_port(host)
     address = listen = f'{host}:{port}'
@@ -117,15 +117,15 @@
   async def start(self, node: Node) -> None:
     """Starts the process of a daemon."""
     log = open(self.folder / f'{node.host}.log', 'ab')  # noqa: SIM115, ASYNC230
-    # In a process group of its own: the kernel wakes the frozen members of a
-    # group whose starter ends.
+    # The process has a group of its own, since the kernel resumes the stopped
+    # members of a process group whose starter exits.
     node.process = await asyncio.create_subprocess_exec(
       sys.executable, '-m', 'woadrun', 'serve', '--config', str(node.config),
       stderr=log, process_group=0,
     )  # fmt: skip
 
   async def list_vms(self, *leaving: Node) -> None:
-    """Tells the platform's list which VMs there are."""
+    """Updates the platform's list of VMs."""
     await local.set_vms(
       self.session,
       self.outside,
@@ -134,7 +134,7 @@
     )
 
   async def dump(self, node: Node) -> Any:
-    """Returns a daemon's state, or None where it gives none."""
+    """Returns a daemon's state dump, or None if the daemon does not answer."""
     try:
       async with self.session.get(
         f'http://{node.listen}/operate/dump',
@@ -146,7 +146,7 @@
       return None
 
   async def wait_ready(self, *nodes: Node) -> None:
-    """Returns once the slots are shared and each has a standby."""
+    """Waits until slots are balanced and each has an owner and a standby."""
     wanted = nodes or tuple(self.nodes)
 
     async def is_ready() -> bool:
@@ -156,7 +156,7 @@
     await until(is_ready)
 
   async def wait_written(self) -> None:
-    """Returns once the platform has all records."""
+    """Waits until no daemon has records that the platform lacks."""
 
     async def is_written() -> bool:
       dumps = [await self.dump(n) for n in self.nodes]
@@ -165,7 +165,7 @@
     await until(is_written)
 
   async def restart(self) -> None:
-    """Kills all daemons, then starts them again and waits for them."""
+    """Kills all daemons, restarts them and waits until they are ready."""
     for node in self.nodes:
       node.kill()
       await node.process.wait()
@@ -178,7 +178,7 @@
     slots = dump['membership']['roster'].get('slots', [])
     owned = dump['owner']['slots']['owned']
     is_alone = len(members) == 1
-    # Slots still move while some daemon owns two more than another.
+    # Slots are still moving if a daemon owns two more than another one.
     counts = [sum(s.get('owner') == m for s in slots) for m in members]
     if not counts or max(counts) - min(counts) > 1:
       return False
@@ -188,13 +188,13 @@
 
   async def find_owner(self, program: str) -> Node:
     """Returns the daemon that owns a program's slot."""
-    return await self._find(program, 'owned')
+    return await self._find_by_role(program, 'owned')
 
   async def find_standby(self, program: str) -> Node:
-    """Returns the daemon that stands by for a program's slot."""
-    return await self._find(program, 'standing_by')
+    """Returns the daemon that is the standby of a program's slot."""
+    return await self._find_by_role(program, 'standing_by')
 
-  async def _find(self, program: str, role: str) -> Node:
+  async def _find_by_role(self, program: str, role: str) -> Node:
     domain, slot, _ = program.split('.')
     for node in self.nodes:
       dump = await self.dump(node) if node.domain == domain else None
@@ -205,7 +205,7 @@
   # --- Callers --------------------------------------------------------------
 
   def make_client(self, *nodes: Node, patience: float = 30.0) -> client.Client:
-    """Returns a caller that knows some daemons, or all of them."""
+    """Returns a client with the addresses of some daemons, by default all."""
     return client.Client(
       session=self.session,
       addresses=[n.listen for n in nodes or self.nodes],
@@ -214,7 +214,7 @@
     )
 
   async def edit(self, node: Node, **columns_by_team: dict[str, Any]) -> int:
-    """Returns the version of an edit that adds or changes rows of teams."""
+    """Adds or changes rows of teams; returns the table version of the edit."""
     operator = self.make_operator(node)
     table = await operator.ask('GET', '/operate/table')
     before = {row['key']: row for row in table['rows']}
@@ -230,7 +230,7 @@
     return int(result['version'])
 
   def make_operator(self, *nodes: Node) -> client.Client:
-    """Returns an operator's client."""
+    """Returns a client with the operator's token."""
     return client.Client(
       session=self.session,
       addresses=[n.listen for n in nodes or self.nodes],
@@ -238,7 +238,7 @@
     )
 
   async def wait_version(self, version: int, *nodes: Node) -> None:
-    """Returns once a table version is in force at the daemons."""
+    """Waits until the daemons have applied a table version."""
 
     async def is_in_force() -> bool:
       dumps = [await self.dump(n) for n in nodes or self.nodes]
@@ -249,7 +249,7 @@
   # --- Cuts -----------------------------------------------------------------
 
   def cut(self, *sides: list[Node]) -> None:
-    """Cuts each side off from all other sides."""
+    """Cuts the links between daemons of different sides, in both directions."""
     for one, other in itertools.permutations(sides, 2):
       self.cuts |= {(a.host, b.host) for a in one for b in other}
 
@@ -266,12 +266,12 @@
 
   async def _open_link(self, host: str, port: int) -> str:
     server = await asyncio.start_server(
-      lambda r, w: self._link(host, port, r, w), '127.0.0.1', 0
+      lambda r, w: self._relay(host, port, r, w), '127.0.0.1', 0
     )
     self._servers.append(server)
     return f'127.0.0.1:{server.sockets[0].getsockname()[1]}'
 
-  async def _link(
+  async def _relay(
     self,
     host: str,
     port: int,
@@ -280,17 +280,17 @@
   ) -> None:
     source = writer.get_extra_info('peername')[0]
     try:
-      await self._wait_uncut(source, host)
-      back, out = await asyncio.open_connection(host, port)
+      await self._wait_until_healed(source, host)
+      node_reader, node_writer = await asyncio.open_connection(host, port)
     except OSError:
       writer.transport.abort()
       return
     await asyncio.gather(
-      self._pump(reader, out, source, host),
-      self._pump(back, writer, source, host),
+      self._copy(reader, node_writer, source, host),
+      self._copy(node_reader, writer, source, host),
     )
 
-  async def _pump(
+  async def _copy(
     self,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
@@ -299,21 +299,21 @@
   ) -> None:
     try:
       while data := await reader.read(65536):
-        await self._wait_uncut(source, host)
+        await self._wait_until_healed(source, host)
         writer.write(data)
         await writer.drain()
       writer.close()
     except OSError:
       writer.transport.abort()
 
-  async def _wait_uncut(self, one: str, other: str) -> None:
+  async def _wait_until_healed(self, one: str, other: str) -> None:
     while {(one, other), (other, one)} & self.cuts:
       await self._healed.wait()
 
   # --- End ------------------------------------------------------------------
 
   async def stop(self) -> None:
-    """Ends all processes and stand-ins."""
+    """Kills all processes and stops the links and stand-ins."""
     self.heal()
     for node in self.nodes:
       node.kill()
@@ -332,7 +332,7 @@
   sections: dict[str, Any] | None = None,
   **outside: Any,
 ):
-  """Yields a fleet that is ready; 'nns' is two daemons north, one south."""
+  """Yields a ready fleet; 'nns' is two daemons in north and one in south."""
   names = {'n': 'north', 's': 'south', 'w': 'west'}
   domains = tuple(dict.fromkeys(names[c] for c in domain_by_node))
   fleet = Fleet(folder, await local.start_outside(**outside))
@@ -356,21 +356,23 @@
     print(f'--- {path.name}\n{path.read_text()[-4000:]}')
 
 
-async def until(condition, seconds: float = READY_SECONDS) -> None:
-  """Returns once an awaited condition holds; fails after long."""
+async def until(condition, seconds: float = READY_TIMEOUT_SECONDS) -> None:
+  """Polls an async condition until it holds; fails after `seconds`."""
   deadline = time.monotonic() + seconds
   while not await condition():
-    assert time.monotonic() < deadline, 'the condition did not come about'
+    assert time.monotonic() < deadline, (
+      f'the condition did not hold within {seconds} s'
+    )
     await asyncio.sleep(0.05)
 
 
 async def get_refusal(awaitable) -> errors.WoadrunError:
-  """Returns the error that a request is refused with."""
+  """Returns the error with which a request is refused."""
   try:
     result = await awaitable
   except errors.WoadrunError as error:
     return error
-  raise AssertionError(f'not refused: {result}')
+  raise AssertionError(f'the request was not refused: {result}')
 
 
 def to_toml(data: dict[str, Any]) -> str:
@@ -400,7 +402,7 @@
 
 
 def is_running(node: Node) -> bool:
-  """Returns whether a daemon's process is there."""
+  """Returns whether a daemon's process is running."""
   try:
     os.kill(get_pid(node), 0)
   except ProcessLookupError:
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""Daemons in one process, on one row store in memory, for tests."""
+"""Daemons in one process that share a row store in memory, for tests."""
 
 import asyncio
 import contextlib
@@ -65,15 +65,15 @@
 
 DOMAIN_BY_LETTER = {'n': 'north', 's': 'south', 'w': 'west'}
 
-# A fault of `Engines`: no answer ever comes.
+# A fault of `Engines`: the request is never answered.
 SILENCE = object()
 
 
 class View:
-  """One daemon's view of the store, which can be cut by itself.
+  """A daemon's view of the store, which can be cut separately.
 
-  `calls` has the name and the table of each call, `written` the names of the
-  rows that were written.
+  `calls` records the method and the table of each call, `written` the names of
+  the rows that were written.
   """
 
   def __init__(self, shared):
@@ -103,12 +103,16 @@
   def _check(self):
     if self.is_cut:
       raise errors.WoadrunError(
-        errors.Code.PLATFORM_UNAVAILABLE, 'This VM is turned away.'
+        errors.Code.PLATFORM_UNAVAILABLE, 'The store rejects this VM.'
       )
 
 
 class Engines:
-  """Instances that answer each turn with its number, and keep what came."""
+  """Instances that answer each request with its id, and record it in `sent`.
+
+  Each of `faults` replaces the answer of one request: an exception is raised, a
+  reply is returned, and `SILENCE` never answers.
+  """
 
   def __init__(self):
     self.sent = []
@@ -154,14 +158,14 @@
 
 
 def make_torn_reply():
-  """Returns an answer that breaks off after its first event."""
+  """Returns a reply that breaks off after its first event."""
 
-  async def tear():
+  async def stream():
     yield b'data: x\n\n'
     raise exchange.Lost('reset')
 
   reply = make_reply()
-  reply.chunks = tear()
+  reply.chunks = stream()
   return reply
 
 
@@ -174,7 +178,7 @@
 class Nodes:
   """Daemons by name: `n1` in `north`, `s1` in `south`, `w1` in `west`.
 
-  Nothing passes between the domains in `cut` and the others.
+  No traffic passes between a domain in `cut` and any other domain.
   """
 
   def __init__(self, *, config=CONFIG, revocation=None):
@@ -190,14 +194,14 @@
   async def __aenter__(self):
     await self.shared.change(
       writes=[
-        _put_config(self.config),
+        _make_config_row(self.config),
         *(
           (rows.Key('servers', '', id), msgspec.json.encode(entry))
           for id, entry in (
-            ('e1', _entry('models')),
-            ('e2', _entry('models')),
-            ('t1', _entry('tools')),
-            ('t2', _entry('tools')),
+            ('e1', _make_default_entry('models')),
+            ('e2', _make_default_entry('models')),
+            ('t1', _make_default_entry('tools')),
+            ('t2', _make_default_entry('tools')),
           )
         ),
       ]
@@ -208,8 +212,8 @@
     await self._stack.aclose()
 
   async def configure(self, config):
-    """Puts a configuration in the store, as its adapter hands it on."""
-    await self.shared.change(writes=[_put_config(config)])
+    """Writes a configuration to the store, sealed as by the operator."""
+    await self.shared.change(writes=[_make_config_row(config)])
 
   async def start(self, *names):
     for name in names:
@@ -217,7 +221,7 @@
     await self.wait_for_all()
 
   async def start_alone(self, name, *, address=None):
-    """Returns a daemon that was started; waits for nothing it may lack."""
+    """Starts a daemon and returns it without a wait for its readiness."""
     await self._start(name, address=address)
     return self.by_name[name]
 
@@ -254,36 +258,36 @@
       ),
     )
     self.by_name[name] = started
-    self._watch_ways(started)
+    self._apply_cuts(started)
     await started.start()
     self._stack.push_async_callback(started.stop)
 
   def cut_off(self, domain):
-    """Cuts a domain off from the store and from all others."""
+    """Cuts a domain off from the store and from all other domains."""
     self.cut.add(domain)
     for name, view in self.view_by_name.items():
       if DOMAIN_BY_LETTER[name[0]] == domain:
         view.is_cut = True
 
-  def _watch_ways(self, daemon):
-    """Drops what a daemon sends across a cut."""
+  def _apply_cuts(self, daemon):
+    """Makes a daemon's datagrams and messages across a cut fail."""
     send, post = daemon.fleet.datagrams.send, daemon.links.post
 
     def is_cut(address):
       domains = {daemon.config.domain, self._find_domain(address)}
       return len(domains) > 1 and bool(domains & self.cut)
 
-    def send_if_whole(address, kind, data):
+    def send_unless_cut(address, kind, data):
       if not is_cut(address):
         send(address, kind, data)
 
-    async def post_if_whole(address, *args, **options):
+    async def post_unless_cut(address, *args, **options):
       if is_cut(address):
         raise peers.NoAnswer(errors.Code.OWNER_UNAVAILABLE, 'Cut off.')
       return await post(address, *args, **options)
 
-    daemon.fleet.datagrams.send = send_if_whole
-    daemon.links.post = post_if_whole
+    daemon.fleet.datagrams.send = send_unless_cut
+    daemon.links.post = post_unless_cut
 
   def _find_domain(self, address):
     found = (
@@ -294,7 +298,7 @@
     return next(found, '')
 
   async def stop(self, name):
-    """Ends a daemon without a word to the others."""
+    """Stops a daemon without a graceful handover."""
     await self.by_name.pop(name).stop()
 
   async def wait_for_all(self):
@@ -309,7 +313,7 @@
     )
 
   async def ask(self, name, request):
-    """Returns status and body of a request's answer at a daemon."""
+    """Sends a request to a daemon; returns the answer's status and body."""
     service = self.by_name[name].serving
     async with service.answer(request) as answer:
       body = b''.join([chunk async for chunk in answer.chunks])
@@ -340,7 +344,7 @@
     )
 
   def clear_calls(self):
-    """Forgets which calls of the store were made so far."""
+    """Clears the recorded calls and writes of the store."""
     for view in self.view_by_name.values():
       view.calls.clear()
       view.written.clear()
@@ -351,17 +355,17 @@
     return [c for view in views for c in view.calls if c[1] in tables]
 
   def get_written(self):
-    """Returns the names of the rows that daemons wrote, one for each write."""
+    """Returns the names of the rows that daemons wrote, one per write."""
     views = self.view_by_name.values()
     return [name for view in views for name in view.written]
 
   def get_body(self, id):
-    """Returns what an engine received for a request."""
+    """Returns the body of the last send of a request, or None if never sent."""
     found = [item.body for item in self.engines.sent if item.request.id == id]
     return found[-1] if found else None
 
 
-def _put_config(config):
+def _make_config_row(config):
   value = operator.seal(msgspec.json.encode(config))
   return rows.Key('op', '', 'config'), value
 
@@ -386,7 +390,7 @@
       await asyncio.sleep(0.02)
 
 
-def _entry(service):
+def _make_default_entry(service):
   return {
     'service': service,
     'address': '127.0.0.1:9',
@@ -397,10 +401,10 @@
 
 
 def get_part(name):
-  """Returns the part of the store that a program's row lies in."""
+  """Returns the part of the store that holds a program's row."""
   return turn_store.get_part(name)
 
 
 def make_entry(**fields):
-  """Returns what an instance writes of itself, but for `fields`."""
-  return {**_entry('models'), **fields}
+  """Returns the row that an instance writes, with `fields` replaced."""
+  return {**_make_default_entry('models'), **fields}
--- a/tests/test_dev.py
+++ b/tests/test_dev.py
@@ -1,4 +1,4 @@
-"""The commands of a fresh clone."""
+"""The `dev` script in a fresh clone."""
 
 import os
 import pathlib
@@ -7,7 +7,7 @@
 import sys
 
 ROOT = pathlib.Path(__file__).parent.parent
-# Stands for the system's Python: sets an environment up slowly, and counts it.
+# Replaces the system's Python: creates an environment slowly, and records it.
 PYTHON = """#!/bin/sh
 case "$*" in
   *fcntl*) exec "$REAL_PYTHON" "$@" ;;
@@ -19,11 +19,15 @@
     chmod +x .venv/bin/python ;;
 esac
 """
-SECONDS = 60
+TIMEOUT_SECONDS = 60
 
 
-def test_two_commands_at_once_set_a_fresh_clone_up_once(tmp_path):
-  """Each cleared the environment that the other one was installing into."""
+def test_concurrent_commands_create_one_environment(tmp_path):
+  """Guards against each command deleting the environment of the other one.
+
+  Both commands started to create the environment, and each cleared the one that
+  the other was still installing into.
+  """
   for name in ('dev', 'requirements-dev.txt'):
     shutil.copy(ROOT / name, tmp_path)
   python = tmp_path / 'python'
@@ -38,6 +42,6 @@
     subprocess.Popen(['./dev', 'python'], cwd=tmp_path, env=environment)
     for _ in range(2)
   ]
-  codes = [command.wait(SECONDS) for command in commands]
+  codes = [command.wait(TIMEOUT_SECONDS) for command in commands]
   assert codes == [0, 0]
   assert (tmp_path / 'set-ups').read_text().split() == ['begun']
