--- a/bench/faults/callers.py
+++ b/bench/faults/callers.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Turn:
-  """A turn as its caller saw it; `line` is the history that it continues.
+  """A turn as its caller saw it; `history` precedes its input.
 
   `key` is None for a key that no team ever had; `sent_at` and `ended_at` are
   readings of the monotonic clock.
@@ -92,7 +92,7 @@
 
 
 class Callers:
-  """Starts programs until it is stopped, and records violated invariants.
+  """Starts programs until stopped, and records violated invariants.
 
   With `calls`, the limited team also sends single calls beyond its rate limit.
   """
@@ -264,7 +264,7 @@
           self._record_chunk(turn, chunk)
         turn.status = answer.status
     except errors.WoadrunError as error:
-      # After its headers are sent, an answer can only be violations off.
+      # After its headers are sent, an answer can only be broken off.
       turn.status = 502 if has_head else error.status
     except exchange.Lost:
       turn.status = 502
--- a/bench/faults/fleet.py
+++ b/bench/faults/fleet.py
@@ -135,7 +135,7 @@
       while not self._is_settled():
         await asyncio.sleep(0.1)
 
-  async def change_teams(self) -> None:
+  async def write_teams(self) -> None:
     """Writes the current teams to the operator's table."""
     await self.store.rows.change(writes=[self._make_table_row()])
 
@@ -214,7 +214,7 @@
       task.cancel()
     await site.daemon.stop()
 
-  async def leave(self, name: str) -> None:
+  async def stop(self, name: str) -> None:
     """Stops a daemon gracefully; returns early if it is killed meanwhile."""
     site = self.site_by_name[name]
     if site.is_dead:
--- a/bench/faults/schedule.py
+++ b/bench/faults/schedule.py
@@ -23,7 +23,7 @@
 # How long the callers go on after the last fault.
 RECOVERY_SECONDS = 2.0
 MAX_FAULTS = 5
-# A run that lasts longer on its virtual clock counts as violation.
+# A run that lasts longer on its virtual clock counts as hung.
 RUN_TIMEOUT_SECONDS = 60.0
 # Time without faults of the store or the network after which daemons have
 # written their pending records to the store.
@@ -320,7 +320,7 @@
   """Stops two daemons gracefully, one after the other, and restarts each."""
   first = fault.target % len(served.names)
   for name in served.names[first : first + 2]:
-    await served.leave(name)
+    await served.stop(name)
     await served.start(name)
 
 
@@ -330,18 +330,18 @@
   one, other = (names[(fault.target + n) % len(names)] for n in (0, 1))
   if fault.variant == 3:
     served.tenancy.swap_keys(one, other)
-    await served.change_teams()
+    await served.write_teams()
     return
   for name in (one, other):
     served.tenancy.replace_key(name, asyncio.get_running_loop().time())
-    await served.change_teams()
+    await served.write_teams()
     await asyncio.sleep(fault.seconds)
 
 
 async def _change_limit(served: fleet.Fleet, fault: Fault) -> None:
   rate = tenancy.RATE_CHOICES[fault.variant % len(tenancy.RATE_CHOICES)]
   served.tenancy.set_rate(rate, asyncio.get_running_loop().time())
-  await served.change_teams()
+  await served.write_teams()
 
 
 _INJECT_BY_KIND: dict[str, Callable[[fleet.Fleet, Fault], Awaitable[None]]] = {
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Kind:
-  """Programs of one kind; `aim` is the allowed ratio to the ideal duration."""
+  """A kind of programs; `target_ratio` bounds actual over ideal duration."""
 
   name: str
   share: float
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -1,8 +1,8 @@
 """Compares a surge of programs at real daemons with one at the engines.
 
 Confirms the direction of the simulated experiment's result with processes: 12
-daemons in 3 domains and 6 engines with small caches.  The naive variant are
-callers that use the engines round-robin and send the whole conversation.
+daemons in 3 domains and 6 engines with small caches.  In the naive variant,
+callers use the engines round-robin and send the whole conversation.
 
 Usage: ./dev python bench/surge.py [--programs 300] [--seed 1]
 """
