--- a/src/woadrun/process/transitions.py
+++ b/src/woadrun/process/transitions.py
@@ -47,14 +47,14 @@
     members: membership.Membership,
     links: peers.Peers,
     held: ownership.Ownership,
-    without_table: outage.Outage,
+    outage_handler: outage.OutageHandler,
   ) -> None:
     super().__init__()
     self._config = config
     self._members = members
     self._links = links
     self._ownership = held
-    self._outage = without_table
+    self._outage = outage_handler
     self._address = config.daemon.address
     self._change_lock = asyncio.Lock()
     self._heartbeat_count = 0
@@ -67,7 +67,9 @@
 
     An empty `standby` leaves the slots without one.
     """
-    held = [h for n in numbers if (h := self._ownership.holding_by_slot.get(n))]
+    held = [
+      h for n in numbers if (h := self._ownership.owned_slot_by_number.get(n))
+    ]
     pairs = {h.number: (h.epoch, self._address, standby) for h in held}
     copy_id = secrets.token_hex(4)
     for holding in held:
@@ -93,7 +95,7 @@
         holding.opened.set()
 
   async def _discard_copies(
-    self, held: list[slots.Holding], standby: str, copy_id: str
+    self, held: list[slots.OwnedSlot], standby: str, copy_id: str
   ) -> None:
     for holding in held if standby else ():
       message = messages.Sync(
@@ -117,7 +119,8 @@
     held = [
       h
       for n in numbers
-      if (h := self._ownership.holding_by_slot.get(n)) and h.standby == target
+      if (h := self._ownership.owned_slot_by_number.get(n))
+      and h.standby == target
     ]
     unfit = self._members.get_unfit() | {self._address}
     known = self._members.roster
@@ -144,15 +147,15 @@
       for holding in held:
         holding.opened.set()
 
-  async def _confirm_standby(self, holding: slots.Holding) -> None:
+  async def _confirm_standby(self, holding: slots.OwnedSlot) -> None:
     # The receiver may have missed the change that made it the standby.  It
     # must have the state of the current epoch before it becomes the owner.
     ticket = self._ownership.append(holding, [])
     held = await asyncio.wait_for(
       asyncio.shield(ticket.durability), self._config.timing.commit
     )
-    if held is not slots.Held.STANDBY:
-      raise slots.make_not_committed(
+    if held is not slots.Durability.STANDBY:
+      raise slots.make_not_committed_error(
         f'Slot {holding.number} has no standby that acknowledges batches.',
         retry_after=1.0,
       )
@@ -160,7 +163,7 @@
   # --- Taking over ----------------------------------------------------------
 
   async def _take_over(self, owner: str) -> None:
-    if await self._members.is_heard_by_others(owner):
+    if await self._members.is_member_reachable(owner):
       return
     taken = {
       n: replica
@@ -252,7 +255,7 @@
   async def _record_claims(self) -> None:
     claimed = {
       n: (h.epoch, self._address, '')
-      for n, h in self._ownership.holding_by_slot.items()
+      for n, h in self._ownership.owned_slot_by_number.items()
       if h.is_claimed
     }
     if claimed:
@@ -296,7 +299,7 @@
     """Returns the members that a new round trip shows to be alive."""
     probed = sorted(members - {''})
     answers = await asyncio.gather(
-      *(self._members.is_heard_by_others(member) for member in probed)
+      *(self._members.is_member_reachable(member) for member in probed)
     )
     return {m for m, is_heard in zip(probed, answers, strict=True) if is_heard}
 
@@ -309,7 +312,7 @@
       is_affected = entry.standby == self._address and entry.owner in silent
       has_copy = (
         number in self._ownership.replica_by_slot
-        or number in self._ownership.holding_by_slot
+        or number in self._ownership.owned_slot_by_number
       )
       if is_affected and not has_copy:
         yield number
@@ -335,7 +338,7 @@
           timeout=COPIES_QUERY_TIMEOUT_SECONDS,
         )
       except errors.WoadrunError:
-        is_alive = await self._members.is_heard_by_others(member)
+        is_alive = await self._members.is_member_reachable(member)
         return request.slots if is_alive else []
       return answer.slots
 
@@ -349,7 +352,9 @@
     # to probe a silent standby before it replaces the standby, which may have
     # taken the slot over.
     silent = self._members.get_silent()
-    standbys = {h.standby for h in self._ownership.holding_by_slot.values()}
+    standbys = {
+      h.standby for h in self._ownership.owned_slot_by_number.values()
+    }
     return await self._find_reachable(standbys & silent & unfit)
 
   def _get_pair_members(self, numbers: Iterable[int]) -> set[str]:
@@ -361,7 +366,7 @@
     known = self._members.roster
     unfit -= await self._find_reachable_standbys(unfit)
     numbers_by_standby: dict[str, list[int]] = {}
-    for number, holding in self._ownership.holding_by_slot.items():
+    for number, holding in self._ownership.owned_slot_by_number.items():
       if holding.standby and holding.standby not in unfit:
         continue
       choice = roster.choose_standby(
@@ -384,7 +389,7 @@
 
   async def _rebalance(self) -> None:
     unfit = self._members.get_unfit()
-    numbers, target = roster.plan_give_away(
+    numbers, target = roster.plan_rebalance(
       self._members.roster, self._address, unfit=unfit
     )
     if not numbers:
@@ -426,7 +431,7 @@
     if not self._members.is_platform_up():
       # The roster row cannot be changed.  Other daemons serve the slots, which
       # is sufficient.
-      return not self._ownership.holding_by_slot
+      return not self._ownership.owned_slot_by_number
     entries = self._members.roster.slots
     return not any(self._address in (s.owner, s.standby) for s in entries)
 
@@ -434,7 +439,7 @@
     if self._members.is_platform_up():
       await self._restore_standbys()
     numbers_by_standby: dict[str, list[int]] = {}
-    for number, holding in self._ownership.holding_by_slot.items():
+    for number, holding in self._ownership.owned_slot_by_number.items():
       numbers_by_standby.setdefault(holding.standby, []).append(number)
     for target, numbers in sorted(numbers_by_standby.items()):
       if not target or target in unfit:
--- a/src/woadrun/process/views.py
+++ b/src/woadrun/process/views.py
@@ -6,7 +6,7 @@
 import dataclasses
 import operator
 
-from woadrun.process import beats
+from woadrun.process import fleet_heartbeats
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -32,8 +32,8 @@
   behind: set[str] = dataclasses.field(default_factory=set)
   deaf: set[str] = dataclasses.field(default_factory=set)
   reported_silent: set[str] = dataclasses.field(default_factory=set)
-  eligible_by_domain: dict[str, list[beats.Member]] = dataclasses.field(
-    default_factory=dict
+  eligible_by_domain: dict[str, list[fleet_heartbeats.Member]] = (
+    dataclasses.field(default_factory=dict)
   )
   is_silent_by_domain: dict[str, bool] = dataclasses.field(default_factory=dict)
 
@@ -42,8 +42,8 @@
   *,
   domain: str,
   at: float,
-  heard: Iterable[beats.LastHeartbeat],
-  digests: Iterable[beats.Digest],
+  heard: Iterable[fleet_heartbeats.LastHeartbeat],
+  digests: Iterable[fleet_heartbeats.Digest],
   max_age: float,
 ) -> View:
   """Returns the view of a daemon in `domain`.
@@ -56,8 +56,8 @@
   view = View(at=at)
   for item in heard:
     if at - item.at < max_age:
-      _add_heartbeat(view, item.beat, domain)
-  digests_by_domain: dict[str, list[beats.Digest]] = {}
+      _add_heartbeat(view, item.heartbeat, domain)
+  digests_by_domain: dict[str, list[fleet_heartbeats.Digest]] = {}
   for digest in digests:
     digests_by_domain.setdefault(digest.domain, []).append(digest)
     _add_digest(view, digest, domain)
@@ -88,7 +88,8 @@
 
 
 def heartbeat_changes_view(
-  known: beats.Beat | None, heartbeat: beats.Beat
+  known: fleet_heartbeats.FleetHeartbeat | None,
+  heartbeat: fleet_heartbeats.FleetHeartbeat,
 ) -> bool:
   """Returns whether a new heartbeat of a peer changes the view."""
   return known is None or _get_heartbeat_fields(known) != _get_heartbeat_fields(
@@ -97,7 +98,7 @@
 
 
 def digest_changes_view(
-  known: beats.Digest | None, digest: beats.Digest
+  known: fleet_heartbeats.Digest | None, digest: fleet_heartbeats.Digest
 ) -> bool:
   """Returns whether a new digest of a hub changes the view."""
   return known is None or _get_digest_fields(known) != _get_digest_fields(
@@ -105,7 +106,9 @@
   )
 
 
-def _add_heartbeat(view: View, heartbeat: beats.Beat, domain: str) -> None:
+def _add_heartbeat(
+  view: View, heartbeat: fleet_heartbeats.FleetHeartbeat, domain: str
+) -> None:
   if heartbeat.is_leaving:
     view.leaving.add(heartbeat.name)
   if not heartbeat.has_store:
@@ -113,14 +116,16 @@
   _add_domain(view, heartbeat, domain, silent_domains=heartbeat.silent)
 
 
-def _add_digest(view: View, digest: beats.Digest, domain: str) -> None:
+def _add_digest(
+  view: View, digest: fleet_heartbeats.Digest, domain: str
+) -> None:
   view.leaving.update(digest.leaving)
   _add_domain(view, digest, domain, silent_domains=digest.deaf_to)
 
 
 def _add_domain(
   view: View,
-  report: beats.Beat | beats.Digest,
+  report: fleet_heartbeats.FleetHeartbeat | fleet_heartbeats.Digest,
   domain: str,
   *,
   silent_domains: tuple[str, ...],
--- a/src/woadrun/process/vm_list.py
+++ b/src/woadrun/process/vm_list.py
@@ -59,7 +59,7 @@
       factor = max(1.0, len(self.vm_by_address) / FULL_POLL_RATE_VMS)
       await self.sleep(POLL_INTERVAL_SECONDS * factor)
 
-  def note_told(self, addresses: Iterable[str]) -> None:
+  def record_leaving_vms(self, addresses: Iterable[str]) -> None:
     """Records the leaving VMs that a peer reports."""
     now = time.monotonic()
     self._reported_at.update(dict.fromkeys(addresses, now))
--- a/src/woadrun/request/access.py
+++ b/src/woadrun/request/access.py
@@ -22,7 +22,7 @@
     self._security = security
     self.rejected = 0
 
-  def get_teams(self, request: web.Request) -> list[str]:
+  def authenticate_caller(self, request: web.Request) -> list[str]:
     """Returns the teams that the caller of a request may act for.
 
     Raises `unauthorized` if the token is not a caller's.
@@ -36,7 +36,7 @@
       raise self._reject()
     return matched
 
-  def get_operator(self, request: web.Request) -> str:
+  def authenticate_operator(self, request: web.Request) -> str:
     """Returns the name of the operator who sent a request.
 
     Raises `unauthorized` if the token is not an operator's.
--- a/src/woadrun/request/attempts.py
+++ b/src/woadrun/request/attempts.py
@@ -24,8 +24,8 @@
 from woadrun.process import health
 from woadrun.process import loads
 from woadrun.request import authorization
-from woadrun.request import cut_watch
 from woadrun.request import exchange
+from woadrun.request import partition_monitor
 from woadrun.version import instances
 from woadrun.version import routes
 
@@ -42,7 +42,7 @@
 class _Attempt:
   """An attempt whose reply has begun; closing `stack` ends the request."""
 
-  sending: exchange.Sending
+  sending: exchange.RequestAttempt
   stack: contextlib.AsyncExitStack
   reply: exchange.Reply
 
@@ -51,9 +51,9 @@
 class _SendState:
   """The state of one request across its attempts.
 
-  `tried` lists the incarnations (`Instance.life`) that were chosen so far,
-  `last_error` is the error of the latest failed attempt, and `refusal` is the
-  authorization error that forbids further attempts.
+  `tried` lists the incarnations (`Instance.incarnation_id`) that were chosen so
+  far, `last_error` is the error of the latest failed attempt, and `refusal` is
+  the authorization error that forbids further attempts.
   """
 
   request: exchange.Request
@@ -73,12 +73,12 @@
     return self.grant.route
 
 
-class Attempts:
+class RequestSender:
   """Chooses instances for requests, sends the requests and retries them.
 
-  `is_cut_off` takes a failure domain and returns whether a network partition
-  separates it from this daemon, with this daemon on the side that has lost the
-  row store.
+  `is_partitioned` takes a failure domain and returns whether a network
+  partition separates it from this daemon, with this daemon on the side that has
+  lost the row store.
   """
 
   def __init__(
@@ -88,13 +88,15 @@
     load: loads.Loads,
     access: authorization.Authorization,
     upstreams: exchange.Upstreams,
-    is_cut_off: Callable[[str], bool] = lambda domain: False,
+    is_partitioned: Callable[[str], bool] = lambda domain: False,
   ) -> None:
     self._catalogue = known
     self._loads = load
     self._authorization = access
     self._upstreams = upstreams
-    self._partition_watch = cut_watch.CutWatch(is_cut_off=is_cut_off)
+    self._partition_watch = partition_monitor.PartitionMonitor(
+      is_partitioned=is_partitioned
+    )
     self._hedge_budget = hedging.HedgeBudget()
 
   @contextlib.asynccontextmanager
@@ -128,7 +130,7 @@
       while (sending := self._prepare_next(state)) is not None:
         try:
           attempt = await self._start_attempt(state, sending)
-        except exchange.NotSent as error:
+        except exchange.RequestNotSent as error:
           state.last_error = error
           continue
         except exchange.Lost as error:
@@ -152,7 +154,7 @@
 
   # --- Attempts -------------------------------------------------------------
 
-  def _prepare_next(self, state: _SendState) -> exchange.Sending | None:
+  def _prepare_next(self, state: _SendState) -> exchange.RequestAttempt | None:
     """Returns the next attempt to make, or None if there is none.
 
     There is none once the route's limit of attempts or the deadline is
@@ -180,10 +182,10 @@
     )
     if instance is None:
       return None
-    state.tried.append(instance.life)
+    state.tried.append(instance.incarnation_id)
     if turn is not None:
-      self._loads.note_prompt(instance.life, turn.parts)
-    return exchange.Sending(
+      self._loads.record_prompt(instance.incarnation_id, turn.parts)
+    return exchange.RequestAttempt(
       request=state.request,
       instance=instance,
       body=state.body,
@@ -193,7 +195,7 @@
     )
 
   async def _start_attempt(
-    self, state: _SendState, sending: exchange.Sending
+    self, state: _SendState, sending: exchange.RequestAttempt
   ) -> _Attempt:
     if state.route.kind is routes.Kind.STREAM:
       return await self._send_watched(sending)
@@ -204,7 +206,7 @@
     self._hedge_budget.note_first()
     return await self._send_hedged(state, sending)
 
-  async def _send_watched(self, sending: exchange.Sending) -> _Attempt:
+  async def _send_watched(self, sending: exchange.RequestAttempt) -> _Attempt:
     """Makes an attempt that is aborted if a partition cuts off its instance.
 
     Otherwise the caller of a stream waits for seconds until it times out and
@@ -236,13 +238,15 @@
     attempt.reply.abort()
 
   async def _send_hedged(
-    self, state: _SendState, sending: exchange.Sending
+    self, state: _SendState, sending: exchange.RequestAttempt
   ) -> _Attempt:
     """Returns the first usable attempt, hedging with a second instance."""
     tasks = [asyncio.ensure_future(self._send_once(sending))]
-    average_seconds = self._loads.get_usual_seconds(state.service)
+    average_seconds = self._loads.get_mean_seconds(state.service)
     try:
-      await asyncio.wait(tasks, timeout=hedging.get_patience(average_seconds))
+      await asyncio.wait(
+        tasks, timeout=hedging.get_hedge_delay(average_seconds)
+      )
       if not tasks[0].done() and self._hedge_budget.take():
         second = self._prepare_next(state)
         if second is not None:
@@ -257,13 +261,13 @@
       await _cancel_attempts(tasks)
       raise
 
-  async def _send_once(self, sending: exchange.Sending) -> _Attempt:
+  async def _send_once(self, sending: exchange.RequestAttempt) -> _Attempt:
     """Sends a request to one instance and returns once its reply has begun."""
-    id = sending.instance.life
+    id = sending.instance.incarnation_id
     stack = contextlib.AsyncExitStack()
     stack.enter_context(self._loads.count(id))
     stack.callback(self._record_duration, sending, time.monotonic())
-    self._loads.health.note_sent(stack, id, sending.instance.service)
+    self._loads.health.record_request(stack, id, sending.instance.service)
     try:
       reply = await stack.enter_async_context(self._upstreams.send(sending))
       self._loads.health.note_answer(stack)
@@ -272,7 +276,7 @@
       self._record_failure(sending, error)
       raise
     finally:
-      self._loads.health.note_end(stack)
+      self._loads.health.record_end(stack)
     self._record_reply(id, reply)
     stack.callback(self._record_idle_connection, id, reply)
     self._log_outcome(sending, _describe_reply(reply))
@@ -280,9 +284,9 @@
 
   def _record_reply(self, id: str, reply: exchange.Reply) -> None:
     if not reply.has_run:
-      self._loads.health.note_failure(id, health.REJECTION_WEIGHT)
+      self._loads.health.record_failure(id, health.REJECTION_WEIGHT)
     elif not reply.is_genuine or reply.status >= MIN_FAILURE_STATUS:
-      self._loads.health.note_failure(id)
+      self._loads.health.record_failure(id)
     reply.chunks = self._relay_chunks(id, reply.chunks)
 
   async def _relay_chunks(
@@ -294,34 +298,38 @@
         async for chunk in chunks:
           yield chunk
     except exchange.Lost:
-      self._loads.health.note_failure(id)
+      self._loads.health.record_failure(id)
       raise
 
   def _record_idle_connection(self, id: str, reply: exchange.Reply) -> None:
     if reply.is_reusable():
-      self._loads.note_rested(id)
+      self._loads.record_idle_connection(id)
 
   def _record_duration(
-    self, sending: exchange.Sending, started_at: float
+    self, sending: exchange.RequestAttempt, started_at: float
   ) -> None:
     instance = sending.instance
     seconds = time.monotonic() - started_at
-    self._loads.note_seconds(instance.life, instance.service, seconds)
+    self._loads.record_duration(
+      instance.incarnation_id, instance.service, seconds
+    )
 
   def _record_failure(
-    self, sending: exchange.Sending, error: BaseException
+    self, sending: exchange.RequestAttempt, error: BaseException
   ) -> None:
-    if isinstance(error, exchange.NotSent):
-      self._loads.note_unreachable(sending.instance.life)
-      self._loads.health.note_failure(sending.instance.life)
+    if isinstance(error, exchange.RequestNotSent):
+      self._loads.record_unreachable(sending.instance.incarnation_id)
+      self._loads.health.record_failure(sending.instance.incarnation_id)
       self._log_outcome(sending, f'instance not reached: {error}')
     elif isinstance(error, exchange.Lost):
-      self._loads.health.note_failure(
-        sending.instance.life, health.SILENCE_WEIGHT
+      self._loads.health.record_failure(
+        sending.instance.incarnation_id, health.TIMEOUT_WEIGHT
       )
       self._log_outcome(sending, f'no reply: {error}')
 
-  def _log_outcome(self, sending: exchange.Sending, outcome: str) -> None:
+  def _log_outcome(
+    self, sending: exchange.RequestAttempt, outcome: str
+  ) -> None:
     log.info(
       'Request %s at %s (%s, %.0f ms left): %s.',
       sending.request.id,
@@ -338,7 +346,7 @@
         errors.Code.OUTCOME_UNKNOWN,
         'The request may have run, but no valid reply arrived: '
         f'{state.last_error}',
-        ran=errors.Ran.UNKNOWN,
+        ran=errors.RunStatus.UNKNOWN,
       )
     if state.refusal is not None:
       return state.refusal
@@ -347,7 +355,7 @@
       errors.Code.UPSTREAM_UNAVAILABLE,
       f'None of {len(group)} instances ran the request; '
       f'{len(state.tried)} were tried.',
-      retry_after=self._loads.estimate_return(group),
+      retry_after=self._loads.estimate_retry_after(group),
     )
 
 
--- a/src/woadrun/request/calls.py
+++ b/src/woadrun/request/calls.py
@@ -50,7 +50,9 @@
     return hashlib.blake2b(data, digest_size=12).hexdigest()
 
 
-class Start(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class StartProgram(
+  msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True
+):
   """A request to start a program.
 
   `deadline` is in seconds from the start; 0 selects the deadline of the
@@ -74,7 +76,9 @@
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
 
-class Steer(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class ProgramCommand(
+  msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True
+):
   """A request to read (`get`), `end` or `cancel` a program."""
 
   program: str
@@ -128,7 +132,7 @@
 # --- Answers ----------------------------------------------------------------
 
 
-class StreamBroken(Exception):
+class StreamInterrupted(Exception):
   """Raised to a reader of an answer that was restarted or interrupted."""
 
 
@@ -136,7 +140,7 @@
   """The answer of one request, complete or still being written.
 
   Any number of readers may read the answer at any time, each from its
-  first byte.  When an answer is restarted, its readers get `StreamBroken`,
+  first byte.  When an answer is restarted, its readers get `StreamInterrupted`,
   so that no caller receives parts of two answers.
   """
 
@@ -168,7 +172,7 @@
     return sum(map(len, self._chunks))
 
   def set_head(self, *, status: int, content_type: str) -> None:
-    """Sets the status and content type, which wakes `wait_begun`."""
+    """Sets the status and content type, which wakes `wait_for_head`."""
     self.status = status
     self.content_type = content_type
     self._head_ready.set()
@@ -181,7 +185,7 @@
   def restart(self) -> None:
     """Discards all bytes written.
 
-    Readers that have received some of them get `StreamBroken`.
+    Readers that have received some of them get `StreamInterrupted`.
     """
     if self._chunks:
       self.generation += 1
@@ -203,7 +207,7 @@
     self._changed.set()
     self._changed = asyncio.Event()
 
-  async def wait_begun(self) -> None:
+  async def wait_for_head(self) -> None:
     """Returns once the status and content type are set.
 
     Raises the answer's error if it has one.
@@ -216,7 +220,8 @@
     """Yields the answer's bytes from the first one.
 
     Raises the answer's error if no bytes were yielded before it, and
-    `StreamBroken` if yielded bytes were discarded or an error followed them.
+    `StreamInterrupted` if yielded bytes were discarded or an error followed
+    them.
     """
     index = 0
     generation = self.generation
@@ -225,7 +230,7 @@
       if self.error is not None and index == 0:
         raise self.error
       if index and (generation != self.generation or self.error is not None):
-        raise StreamBroken
+        raise StreamInterrupted
       generation = self.generation
       while index < len(self._chunks):
         chunk = b''.join(self._chunks[index:])
--- a/src/woadrun/request/exchange.py
+++ b/src/woadrun/request/exchange.py
@@ -32,7 +32,7 @@
   most: int = 0
   budget: int | None = None
   prompt: int = 0
-  parts: tuple[turn_messages.Part, ...] = ()
+  parts: tuple[turn_messages.PromptPart, ...] = ()
   finish: float | None = None
 
 
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Sending:
+class RequestAttempt:
   """One attempt of a request at one instance.
 
   `seconds` is the time left for the attempt.  `urgency` is 0 for the most
@@ -122,7 +122,7 @@
   is_reusable: Callable[[], bool] = lambda: False
 
 
-class NotSent(Exception):
+class RequestNotSent(Exception):
   """Raised when a request certainly did not reach the instance."""
 
 
@@ -134,11 +134,11 @@
   """Interface for sending requests to instances."""
 
   def send(
-    self, sending: Sending
+    self, sending: RequestAttempt
   ) -> contextlib.AbstractAsyncContextManager[Reply]:
     """Returns a context manager with the reply; its exit ends the request.
 
-    Entering it raises `NotSent` or `Lost` if there is no reply.
+    Entering it raises `RequestNotSent` or `Lost` if there is no reply.
     """
 
 
--- a/src/woadrun/request/execution.py
+++ b/src/woadrun/request/execution.py
@@ -121,7 +121,7 @@
     raise errors.WoadrunError(
       errors.Code.REQUEST_CONFLICT,
       'The request has run, but its answer is no longer stored.',
-      ran=errors.Ran.RAN,
+      ran=errors.RunStatus.RAN,
       place='Idempotency-Key',
     )
   data = request.answer.encode()
--- a/src/woadrun/request/forwarding.py
+++ b/src/woadrun/request/forwarding.py
@@ -68,7 +68,7 @@
   close: Callable[[], object]
 
 
-class Forwarding(mode.Service):
+class Forwarder(mode.Service):
   """Forwards requests to the owners of their programs."""
 
   def __init__(
@@ -97,7 +97,7 @@
 
     async def local() -> OpenedResponse:
       answer = await self._local_owner.call(call, is_stream=is_stream)
-      await answer.wait_begun()
+      await answer.wait_for_head()
       return OpenedResponse(
         status=answer.status,
         content_type=answer.content_type,
@@ -110,7 +110,7 @@
 
     return await self._call_owner(call.program, local, remote)
 
-  async def start_program(self, start: calls.Start) -> program.Program:
+  async def start_program(self, start: calls.StartProgram) -> program.Program:
     """Returns a program after its owner has started it."""
 
     async def local() -> program.Program:
@@ -125,11 +125,11 @@
       start.program, local, remote, timeout=START_TIMEOUT_SECONDS
     )
 
-  async def steer(self, steer: calls.Steer) -> program.Program:
+  async def steer(self, steer: calls.ProgramCommand) -> program.Program:
     """Returns a program after its owner has read, ended or cancelled it."""
 
     async def local() -> program.Program:
-      return await steer_locally(self._local_owner, steer)
+      return await control_program_locally(self._local_owner, steer)
 
     async def remote(address: str) -> program.Program:
       return await self._post(address, 'steer', steer, program.Program)
@@ -149,7 +149,7 @@
     domain, slot = calls.split_program_id(program_id)
     timeout = min(timeout, self._config.timing.hold)
     deadline = time.monotonic() + timeout
-    ran = errors.Ran.NOT_RUN
+    ran = errors.RunStatus.NOT_RUN
     while True:
       address = await self._find_owner(domain, slot)
       try:
@@ -160,10 +160,10 @@
       except errors.WoadrunError as error:
         if not _is_retriable(error):
           raise
-        if error.ran is not errors.Ran.NOT_RUN:
+        if error.ran is not errors.RunStatus.NOT_RUN:
           ran = error.ran
         if error.code is errors.Code.OWNER_UNAVAILABLE:
-          self._members.note_unreached(domain)
+          self._members.mark_domain_unreachable(domain)
       if time.monotonic() > deadline:
         raise errors.WoadrunError(
           errors.Code.OWNER_UNAVAILABLE,
@@ -209,7 +209,7 @@
     ):
       return
     self._last_lookup_at[domain, slot] = now
-    pair = self._members.directory.get_pair(domain, slot)
+    pair = self._members.directory.get_replicas(domain, slot)
     others = (
       [] if is_own_domain else self._members.directory.get_addresses(domain)[:2]
     )
@@ -283,7 +283,7 @@
     raise errors.WoadrunError(
       errors.Code.OWNER_UNAVAILABLE,
       f'No response from {address}: {type(error).__name__}.',
-      ran=errors.Ran.NOT_RUN if is_refused else errors.Ran.UNKNOWN,
+      ran=errors.RunStatus.NOT_RUN if is_refused else errors.RunStatus.UNKNOWN,
     )
 
   async def _read_chunks(
@@ -293,7 +293,7 @@
       async for chunk in response.content.iter_any():
         yield chunk
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-      raise calls.StreamBroken from error
+      raise calls.StreamInterrupted from error
 
   def _finish_remote_call(
     self, remote_call: _RemoteCall, response: aiohttp.ClientResponse
@@ -325,8 +325,8 @@
     )
 
 
-async def steer_locally(
-  local: owner.Owner, steer: calls.Steer
+async def control_program_locally(
+  local: owner.Owner, steer: calls.ProgramCommand
 ) -> program.Program:
   """Returns a program that this daemon owns, after the requested operation.
 
--- a/src/woadrun/request/gateway.py
+++ b/src/woadrun/request/gateway.py
@@ -77,7 +77,7 @@
     config: settings.Settings,
     members: membership.Membership,
     guard: access.Access,
-    forward: forwarding.Forwarding,
+    forward: forwarding.Forwarder,
   ) -> None:
     self._config = config
     self._members = members
@@ -119,7 +119,7 @@
   # --- Programs -------------------------------------------------------------
 
   async def _start_program(self, request: web.Request) -> web.Response:
-    teams = self._access.get_teams(request)
+    teams = self._access.authenticate_caller(request)
     body = decode(await read_body(request), StartBody)
     if body.team not in teams and '*' not in teams:
       raise errors.WoadrunError(
@@ -129,7 +129,7 @@
       )
     key = calls.check_request_id(request.headers.get(REQUEST_HEADER, ''))
     started = await self._start_in_any_domain(body, teams, key)
-    return make_json(get_program_body(started), status=201)
+    return make_json_response(get_program_body(started), status=201)
 
   async def _start_in_any_domain(
     self, body: StartBody, teams: list[str], key: str
@@ -148,7 +148,9 @@
     )
     # Domains not heard from lately are tried last.  The sort is stable, so
     # the order is otherwise the one derived from the key.
-    domains.sort(key=lambda domain: not self._members.hears_domain(domain))
+    domains.sort(
+      key=lambda domain: not self._members.has_recent_domain_heartbeat(domain)
+    )
     slot = int.from_bytes(roster.get_digest(f'{body.team}/{key}'), 'big')
     slot %= self._config.daemon.slots
     last_error: errors.WoadrunError | None = None
@@ -166,7 +168,7 @@
   ) -> program.Program:
     program_key = f'{body.team}/{body.parent}/{key}'
     return await self._forwarding.start_program(
-      calls.Start(
+      calls.StartProgram(
         program=calls.make_program_id(domain, slot, program_key),
         team=body.team,
         kind=body.kind,
@@ -178,15 +180,17 @@
     )
 
   async def _get_program(self, request: web.Request) -> web.Response:
-    return make_json(get_program_body(await self._send_command(request, 'get')))
+    return make_json_response(
+      get_program_body(await self._send_command(request, 'get'))
+    )
 
   async def _end_program(self, request: web.Request) -> web.Response:
     found = await self._send_command(request, request.match_info['verb'])
-    return make_json(get_program_body(found))
+    return make_json_response(get_program_body(found))
 
   async def _get_history(self, request: web.Request) -> web.Response:
     found = await self._send_command(request, 'get')
-    return make_json(
+    return make_json_response(
       {
         'id': found.started.program,
         'messages': found.history,
@@ -200,17 +204,17 @@
     self, request: web.Request, verb: str
   ) -> program.Program:
     return await self._forwarding.steer(
-      calls.Steer(
+      calls.ProgramCommand(
         program=request.match_info['program'],
         verb=verb,
-        teams=self._access.get_teams(request),
+        teams=self._access.authenticate_caller(request),
       )
     )
 
   # --- Calls ----------------------------------------------------------------
 
   async def _call_model(self, request: web.Request) -> web.StreamResponse:
-    teams = self._access.get_teams(request)
+    teams = self._access.authenticate_caller(request)
     raw = await read_body(request)
     body = decode(raw, dict[str, Any])
     model = body.get('model')
@@ -232,7 +236,7 @@
     return await self._relay(request, call, is_stream=bool(body.get('stream')))
 
   async def _call_service(self, request: web.Request) -> web.StreamResponse:
-    teams = self._access.get_teams(request)
+    teams = self._access.authenticate_caller(request)
     raw = await read_body(request) or b'{}'
     decode(raw, Any)
     match = request.match_info
@@ -259,9 +263,9 @@
       response.headers[PROGRAM_HEADER] = call.program
       try:
         return await relay(request, response, opened.chunks)
-      except calls.StreamBroken:
+      except calls.StreamInterrupted:
         if response.prepared:
-          break_off(request)
+          abort_connection(request)
           return response
       except ConnectionResetError:
         # The caller disconnected; the call continues so that a retry with
@@ -292,7 +296,7 @@
   return response
 
 
-def break_off(request: web.Request) -> None:
+def abort_connection(request: web.Request) -> None:
   """Aborts the connection of a request.
 
   The missing end of the response shows the client that it is truncated.
@@ -361,7 +365,7 @@
 # --- Writing responses ------------------------------------------------------
 
 
-def make_json(data: Any, *, status: int = 200) -> web.Response:
+def make_json_response(data: Any, *, status: int = 200) -> web.Response:
   """Returns a JSON response."""
   return web.Response(
     body=msgspec.json.encode(data),
@@ -370,7 +374,7 @@
   )
 
 
-def make_error(error: errors.WoadrunError) -> web.Response:
+def make_error_response(error: errors.WoadrunError) -> web.Response:
   """Returns the HTTP response for an error."""
   response = web.Response(
     body=error.get_body(), status=error.status, content_type=calls.JSON_TYPE
--- a/src/woadrun/request/recent_lines.py
+++ b/src/woadrun/request/history_cache.py
@@ -13,7 +13,7 @@
 MAX_BYTES = 1_000_000
 
 
-class RecentLines:
+class HistoryCache:
   """A cache of histories by the id of their last request, oldest first."""
 
   def __init__(self) -> None:
--- a/src/woadrun/request/model_call.py
+++ b/src/woadrun/request/model_call.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Prepared:
+class PreparedCall:
   """The messages and token counts of a model call.
 
   `messages` are those that the call adds to the history of its program.
@@ -63,7 +63,7 @@
   found: program.Program,
   *,
   history_tokens: int,
-) -> Prepared:
+) -> PreparedCall:
   """Returns the messages and token counts of a call.
 
   These depend on the current history and budget of the program.  Raises
@@ -84,7 +84,7 @@
       f'The history would exceed {history_tokens} tokens.',
       place='messages',
     )
-  return Prepared(
+  return PreparedCall(
     messages=messages, reserve=reserve, most_output=max_output, prompt=prompt
   )
 
--- a/src/woadrun/request/owner.py
+++ b/src/woadrun/request/owner.py
@@ -57,7 +57,7 @@
 
   # --- Programs -------------------------------------------------------------
 
-  async def start_program(self, start: calls.Start) -> program.Program:
+  async def start_program(self, start: calls.StartProgram) -> program.Program:
     """Returns a new program, or the one that an equal request started."""
     _, slot = calls.split_program_id(start.program)
     holding = await self._held.open(slot)
@@ -86,7 +86,7 @@
     return holding.state.get_program(start.program)
 
   def _check_start(
-    self, start: calls.Start, state: program.SlotState
+    self, start: calls.StartProgram, state: program.SlotState
   ) -> rows.Row:
     row = self._table.get_row(start.team, start.kind)
     if start.budget <= 0:
@@ -108,10 +108,12 @@
     return row
 
   def _count_programs(self) -> int:
-    holdings = self._held.holding_by_slot.values()
+    holdings = self._held.owned_slot_by_number.values()
     return sum(len(holding.state.program_by_id) for holding in holdings)
 
-  def _check_parent(self, start: calls.Start, state: program.SlotState) -> None:
+  def _check_parent(
+    self, start: calls.StartProgram, state: program.SlotState
+  ) -> None:
     parent = self._get_program(state, start.parent, start.teams)
     if parent.ended:
       raise runner.make_ended(parent)
@@ -132,7 +134,7 @@
       return program.SlotState().get_program(program_id)
     return found
 
-  async def get(self, command: calls.Steer) -> program.Program:
+  async def get(self, command: calls.ProgramCommand) -> program.Program:
     """Returns a program in its current state.
 
     The state of a program that was removed from memory after its end is read
@@ -150,7 +152,9 @@
       state = program.SlotState(program_by_id={command.program: archived})
       return self._get_program(state, command.program, command.teams)
 
-  async def end(self, command: calls.Steer, *, reason: str) -> program.Program:
+  async def end(
+    self, command: calls.ProgramCommand, *, reason: str
+  ) -> program.Program:
     """Returns a program after ending it and its sub-agents.
 
     With the reason `ended` running calls are completed first; with any other
@@ -217,7 +221,7 @@
         raise errors.WoadrunError(
           errors.Code.OWNER_UNAVAILABLE,
           'Another daemon is still completing the request.',
-          ran=errors.Ran.UNKNOWN,
+          ran=errors.RunStatus.UNKNOWN,
           retry_after=1.0,
         )
       await asyncio.sleep(OUTCOME_POLL_SECONDS)
@@ -228,12 +232,12 @@
   async def _sweep(self) -> None:
     while not self.should_stop:
       await self.sleep(SWEEP_INTERVAL_SECONDS)
-      for slot in list(self._held.holding_by_slot):
+      for slot in list(self._held.owned_slot_by_number):
         with contextlib.suppress(errors.WoadrunError):
           await self._sweep_slot(slot)
 
   async def _sweep_slot(self, slot: int) -> None:
-    holding = self._held.holding_by_slot.get(slot)
+    holding = self._held.owned_slot_by_number.get(slot)
     programs = holding.state.program_by_id if holding else {}
     now = self.clock()
     for program_id, found in list(programs.items()):
--- a/src/woadrun/request/cut_watch.py
+++ b/src/woadrun/request/partition_monitor.py
@@ -21,18 +21,18 @@
   on_cut: Callable[[], None]
 
 
-class CutWatch:
+class PartitionMonitor:
   """Watches all streams of one daemon for network partitions.
 
   One task polls for all streams, and runs only while there are any: a task for
   each stream would wake the process twice for each turn.
 
-  `is_cut_off` returns whether a network partition separates this daemon from
-  the store and from a failure domain.
+  `is_partitioned` returns whether a network partition separates this daemon
+  from the store and from a failure domain.
   """
 
-  def __init__(self, *, is_cut_off: Callable[[str], bool]) -> None:
-    self._is_cut_off = is_cut_off
+  def __init__(self, *, is_partitioned: Callable[[str], bool]) -> None:
+    self._is_cut_off = is_partitioned
     # Ordered by the time at which the streams began.
     self._streams: dict[_WatchedStream, None] = {}
     self._poll_task: asyncio.Task[None] | None = None
@@ -43,13 +43,13 @@
     stream = _WatchedStream(domain=domain, on_cut=on_cut)
     self._streams[stream] = None
     if self._poll_task is None or self._poll_task.done():
-      self._poll_task = asyncio.ensure_future(self._look_often())
+      self._poll_task = asyncio.ensure_future(self._poll_periodically())
     try:
       yield
     finally:
       self._streams.pop(stream, None)
 
-  async def _look_often(self) -> None:
+  async def _poll_periodically(self) -> None:
     while self._streams:
       await asyncio.sleep(LOOK_SECONDS)
       for stream in list(self._streams):
--- a/src/woadrun/request/placing.py
+++ b/src/woadrun/request/placing.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Plan:
+class CallPlan:
   """What a call needs: candidate upstreams and, for model calls, the prompt.
 
   `cost` is the service time that the call is expected to take, in seconds.
@@ -37,12 +37,12 @@
 
   names: list[str]
   body: dict[str, Any] = dataclasses.field(default_factory=dict)
-  prepared: model_call.Prepared | None = None
+  prepared: model_call.PreparedCall | None = None
   cost: float = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
-class Place:
+class UpstreamAssignment:
   """The upstream that runs a call, and the permit that the call holds there.
 
   `wasted` counts the tokens of abandoned attempts.
@@ -57,7 +57,7 @@
   tried: set[str] = dataclasses.field(default_factory=set)
 
 
-class Placing:
+class CallPlacer:
   """Chooses upstreams and manages permits for the calls of this daemon."""
 
   def __init__(
@@ -65,7 +65,7 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    permits: dispatcher.Dispatcher,
+    permits: dispatcher.PermitDispatcher,
     row_limits: limits.Limits,
   ) -> None:
     self._config = config
@@ -85,7 +85,7 @@
 
   def plan(
     self, call: calls.Call, found: program.Program, row: rows.Row
-  ) -> Plan:
+  ) -> CallPlan:
     """Returns what a call needs.
 
     Raises `unknown_service` or `unknown_model` if no upstream can serve it.
@@ -96,14 +96,14 @@
         raise errors.WoadrunError(
           errors.Code.UNKNOWN_SERVICE, f'The service {name} does not exist.'
         )
-      return Plan(names=[name])
+      return CallPlan(names=[name])
     body = model_call.parse_body(call)
     names = self.get_engines(call.target, row)
     prepared = model_call.prepare(
       call, body, found, history_tokens=self._config.limits.history_tokens
     )
     cost = prepared.most_output * SECONDS_PER_TOKEN
-    return Plan(names=names, body=body, prepared=prepared, cost=cost)
+    return CallPlan(names=names, body=body, prepared=prepared, cost=cost)
 
   def get_engines(self, model: str, row: rows.Row) -> list[str]:
     """Returns the engines that serve a model.
@@ -150,7 +150,9 @@
 
   def _is_reachable(self, name: str) -> bool:
     domain = self.get_domain(name)
-    return self._is_in_own_domain(name) or self._members.hears_domain(domain)
+    return self._is_in_own_domain(
+      name
+    ) or self._members.has_recent_domain_heartbeat(domain)
 
   def _is_on_leaving_vm(self, name: str) -> bool:
     address = urllib.parse.urlsplit(self._get_settings(name).url).netloc
@@ -185,29 +187,33 @@
     call: calls.Call,
     found: program.Program,
     row: rows.Row,
-    plan: Plan,
+    plan: CallPlan,
     permit: str,
-  ) -> AsyncIterator[Place]:
+  ) -> AsyncIterator[UpstreamAssignment]:
     """Holds the row's permit, and releases all permits of the call on exit.
 
     Yields the chosen place.  The caller acquires the upstream's own permit with
     `enter`.
     """
     await self._row_limits.acquire(row, permit)
-    place = Place(name='')
+    place = UpstreamAssignment(name='')
     try:
       prompt = plan.prepared.prompt if plan.prepared else 0
       place.name = self.choose(plan.names, found, prompt)
       yield place
     except errors.WoadrunError as error:
-      place.is_ok = place.is_ok and error.ran is not errors.Ran.UNKNOWN
+      place.is_ok = place.is_ok and error.ran is not errors.RunStatus.UNKNOWN
       raise
     finally:
       self.leave(place)
       self._row_limits.release(row, permit)
 
   async def enter(
-    self, place: Place, found: program.Program, row: rows.Row, cost: float
+    self,
+    place: UpstreamAssignment,
+    found: program.Program,
+    row: rows.Row,
+    cost: float,
   ) -> None:
     """Acquires a slot of the chosen upstream for the call, waiting for it."""
     remaining = max(0.1, found.started.deadline_at - time.time())
@@ -235,7 +241,7 @@
       raise
     place.started_at = time.monotonic()
 
-  def leave(self, place: Place) -> None:
+  def leave(self, place: UpstreamAssignment) -> None:
     """Releases the upstream's permit and reports the outcome of the call."""
     message, place.acquire = place.acquire, None
     if message is None:
@@ -251,9 +257,13 @@
       )
     )
 
-  def get_place(self, name: str, *, is_resumed: bool) -> Place:
+  def make_resumed_assignment(
+    self, name: str, *, is_resumed: bool
+  ) -> UpstreamAssignment:
     """Returns the place of a call that an earlier owner started."""
-    return Place(name=name, is_resumed=is_resumed, started_at=time.monotonic())
+    return UpstreamAssignment(
+      name=name, is_resumed=is_resumed, started_at=time.monotonic()
+    )
 
   def get_domain(self, name: str) -> str:
     """Returns the failure domain of an upstream."""
--- a/src/woadrun/request/rates.py
+++ b/src/woadrun/request/rates.py
@@ -10,11 +10,11 @@
 
 from woadrun import errors
 from woadrun.connection import peers
-from woadrun.connection import quota_messages
+from woadrun.connection import rate_messages
 from woadrun.decisions import retry_after
-from woadrun.process import beats
 from woadrun.process import fleet
-from woadrun.process import rate_keeper
+from woadrun.process import fleet_heartbeats
+from woadrun.process import rate_owner
 from woadrun.request import authorization
 from woadrun.request import exchange
 
@@ -38,14 +38,14 @@
 RETRY_INTERVAL_SECONDS = 0.1
 
 
-class Rates:
+class RateLimitClient:
   """Client for the owners of the teams' rate limits."""
 
   def __init__(
     self,
     *,
     members: fleet.Fleet,
-    local: rate_keeper.RateKeeper,
+    local: rate_owner.RateOwner,
     links: peers.Messenger,
   ) -> None:
     self._members = members
@@ -74,7 +74,7 @@
       raise errors.WoadrunError(
         errors.Code.ISOLATED,
         "No other daemon is reachable: another one owns the team's rate limit.",
-        retry_after=retry_after.LEAST_OUTAGE_SECONDS,
+        retry_after=retry_after.MIN_OUTAGE_SECONDS,
       )
     unit = await self._ask_with_retries(ask, deadline)
     is_in_time = time.monotonic() + unit.wait < deadline
@@ -101,8 +101,8 @@
       await self.take(request, granted, deadline=deadline)
 
   async def _ask_with_retries(
-    self, ask: quota_messages.TakeUnit, deadline: float
-  ) -> quota_messages.Unit:
+    self, ask: rate_messages.AcquireRate, deadline: float
+  ) -> rate_messages.RateDecision:
     wait = (
       STARTUP_OWNER_WAIT_SECONDS if self._is_starting else OWNER_WAIT_SECONDS
     )
@@ -124,11 +124,13 @@
     age = time.monotonic() - self._started_at
     return age < 2 * STARTUP_OWNER_WAIT_SECONDS
 
-  async def _ask(self, ask: quota_messages.TakeUnit) -> quota_messages.Unit:
-    owner = rate_keeper.find_rate_owner(self._members, ask.team)
+  async def _ask(
+    self, ask: rate_messages.AcquireRate
+  ) -> rate_messages.RateDecision:
+    owner = rate_owner.find_rate_owner(self._members, ask.team)
     if owner is not None and not self._is_unreachable(owner):
       try:
-        return await self._ask_at(owner, ask)
+        return await self._ask_member(owner, ask)
       except errors.WoadrunError as error:
         log.info(
           'Rate limit of %s at %s: %s', ask.team, owner.name, error.message
@@ -138,8 +140,8 @@
     )
 
   async def _ask_own_domain(
-    self, ask: quota_messages.TakeUnit
-  ) -> quota_messages.Unit:
+    self, ask: rate_messages.AcquireRate
+  ) -> rate_messages.RateDecision:
     """Takes a unit from the own domain's share of the rate."""
     mine = self._members.me.domain
     ranked = self._members.rank(f'rate/{ask.team}', mine)
@@ -151,14 +153,14 @@
         errors.Code.OWNER_UNAVAILABLE,
         'No member of this domain is reachable.',
       )
-    return await self._ask_at(reachable[0], ask)
+    return await self._ask_member(reachable[0], ask)
 
-  def _is_unreachable(self, member: beats.Member) -> bool:
+  def _is_unreachable(self, member: fleet_heartbeats.Member) -> bool:
     return self._unreachable_until.get(member.name, 0.0) > time.monotonic()
 
-  async def _ask_at(
-    self, member: beats.Member, ask: quota_messages.TakeUnit
-  ) -> quota_messages.Unit:
+  async def _ask_member(
+    self, member: fleet_heartbeats.Member, ask: rate_messages.AcquireRate
+  ) -> rate_messages.RateDecision:
     if member == self._members.me:
       return await self._local.answer(ask)
     try:
@@ -166,7 +168,7 @@
         member.address,
         'rate/take',
         ask,
-        type=quota_messages.Unit,
+        type=rate_messages.RateDecision,
         timeout=TAKE_TIMEOUT_SECONDS,
       )
     except peers.NoAnswer:
@@ -177,13 +179,13 @@
 
 def _make_take_message(
   request: exchange.Request, granted: authorization.Grant
-) -> quota_messages.TakeUnit | None:
+) -> rate_messages.AcquireRate | None:
   """Returns the message for a request, or None if its team has no limit."""
   team = granted.team
   if team is None or team.rate is None:
     return None
   turn = request.turn
-  return quota_messages.TakeUnit(
+  return rate_messages.AcquireRate(
     team=team.name,
     version=team.rate.version,
     per_second=team.rate.per_second,
--- a/src/woadrun/request/recovery.py
+++ b/src/woadrun/request/recovery.py
@@ -48,7 +48,7 @@
     held: ownership.Ownership,
     table: configuration.Configuration,
     links: peers.Peers,
-    places: placing.Placing,
+    places: placing.CallPlacer,
     back: upstreams.Upstreams,
     run: runner.Runner,
   ) -> None:
@@ -61,17 +61,17 @@
     self._places = places
     self._upstreams = back
     self._runner = run
-    self._elsewhere: dict[Key, messages.Handover] = {}
+    self._handover_by_key: dict[Key, messages.Handover] = {}
     # Calls whose recovery task is waiting or has yet to start the execution.
     self._recovering: set[Key] = set()
-    held.on_owned = self._recover_slot
+    held.on_slot_owned = self._recover_slot
 
   # --- Calls that a previous owner finishes ---------------------------------
 
-  def note_handover(self, message: messages.Handover) -> messages.Done:
+  def record_handover(self, message: messages.Handover) -> messages.Done:
     """Records which calls of incoming slots their previous owner finishes."""
     for _, program_id, request in message.requests:
-      self._elsewhere[(program_id, request)] = message
+      self._handover_by_key[(program_id, request)] = message
     self.add_future(self._poll_previous_owner(message))
     return messages.Done()
 
@@ -86,10 +86,10 @@
       (program_id, request) for _, program_id, request in handover.requests
     }
     while unfinished := {
-      key for key in unfinished if self._elsewhere.get(key) is handover
+      key for key in unfinished if self._handover_by_key.get(key) is handover
     }:
       for key in unfinished - await self._query_running(handover, unfinished):
-        self._elsewhere.pop(key, None)
+        self._handover_by_key.pop(key, None)
       await asyncio.sleep(self._config.timing.heartbeat)
 
   async def _query_running(
@@ -107,21 +107,23 @@
         timeout=self._config.timing.silent_after,
       )
     except errors.WoadrunError:
-      is_alive = await self._members.is_heard_by_others(handover.sender)
+      is_alive = await self._members.is_member_reachable(handover.sender)
       return keys if is_alive else set()
     return set(answer.requests)
 
-  async def note_finished(self, message: messages.Finish) -> messages.Recorded:
+  async def note_finished(
+    self, message: messages.ReportOutcome
+  ) -> messages.OutcomeRecorded:
     """Commits the outcome of a call that a previous owner finished."""
     recorded = await self._runner.note_finished(message)
     key = (message.record.program, message.record.request)
     if self._find_running_attempt(key) is None:
       # If an attempt is still running, the record was that of an earlier
       # attempt, and the previous owner still executes the running one.
-      self._elsewhere.pop(key, None)
+      self._handover_by_key.pop(key, None)
     return recorded
 
-  def find_running(self, message: messages.Requests) -> messages.Requests:
+  def get_running_calls(self, message: messages.Requests) -> messages.Requests:
     """Returns which of the calls this daemon still executes or records."""
     return messages.Requests(
       requests=[
@@ -131,7 +133,7 @@
 
   # --- Calls that no daemon executes ----------------------------------------
 
-  def _recover_slot(self, holding: slots.Holding) -> None:
+  def _recover_slot(self, holding: slots.OwnedSlot) -> None:
     for program_id, found in holding.state.program_by_id.items():
       for request in found.get_running():
         key = (program_id, request.accepted.request)
@@ -148,25 +150,25 @@
     # or another daemon gave up.
     while not self.should_stop:
       await self.sleep(ORPHAN_SCAN_INTERVAL_SECONDS)
-      for holding in list(self._held.holding_by_slot.values()):
+      for holding in list(self._held.owned_slot_by_number.values()):
         self._recover_slot(holding)
 
   async def _recover(self, key: Key, accepted: program.Accepted) -> None:
     """Starts the execution of a call that a previous owner left unfinished."""
     try:
-      await self._wait_elsewhere(key)
+      await self._wait_for_previous_owner(key)
       self._start_recovery(key, accepted)
     finally:
       self._recovering.discard(key)
 
-  async def _wait_elsewhere(self, key: Key) -> None:
-    while key in self._elsewhere:
+  async def _wait_for_previous_owner(self, key: Key) -> None:
+    while key in self._handover_by_key:
       await asyncio.sleep(self._config.timing.heartbeat / 10)
 
   def _find_running_attempt(self, key: Key) -> program.Accepted | None:
     """Returns the running attempt of a call, or None if there is none."""
     _, slot = calls.split_program_id(key[0])
-    holding = self._held.holding_by_slot.get(slot)
+    holding = self._held.owned_slot_by_number.get(slot)
     found = holding.state.program_by_id.get(key[0]) if holding else None
     request = found.request_by_id.get(key[1]) if found else None
     if request is None or not request.is_running:
@@ -226,7 +228,9 @@
       'Resuming request %s of program %s.', accepted.request, accepted.program
     )
     if accepted.repeatable:
-      place = self._places.get_place(accepted.upstream, is_resumed=True)
+      place = self._places.make_resumed_assignment(
+        accepted.upstream, is_resumed=True
+      )
       await self._runner.perform(running, accepted, place, row)
       return
     outcome = await self._upstreams.query_outcome(accepted)
@@ -245,6 +249,6 @@
   def dump(self) -> dict[str, object]:
     """Returns the state of this part as plain data."""
     return {
-      'elsewhere': len(self._elsewhere),
+      'elsewhere': len(self._handover_by_key),
       'recovering': len(self._recovering),
     }
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -53,7 +53,7 @@
     held: ownership.Ownership,
     table: configuration.Configuration,
     links: peers.Peers,
-    places: placing.Placing,
+    places: placing.CallPlacer,
     back: upstreams.Upstreams,
   ) -> None:
     super().__init__()
@@ -113,7 +113,11 @@
       running.fail(make_cancelled(running))
     except Exception:
       log.exception('A call failed with an unexpected exception.')
-      ran = errors.Ran.UNKNOWN if running.is_accepted else errors.Ran.NOT_RUN
+      ran = (
+        errors.RunStatus.UNKNOWN
+        if running.is_accepted
+        else errors.RunStatus.NOT_RUN
+      )
       running.fail(
         errors.WoadrunError(errors.Code.INTERNAL, 'Internal error.', ran=ran)
       )
@@ -172,7 +176,7 @@
         await self._settle_and_enter(ticket, accepted, place, found, row, plan)
       except BaseException as error:
         running.is_accepted = False
-        await self._take_back(accepted, error)
+        await self._record_not_run(accepted, error)
         raise
       if previous_engine not in ('', found.engine):
         self._upstreams.drop_program_cache(call.program, previous_engine)
@@ -180,12 +184,12 @@
 
   async def _settle_and_enter(
     self,
-    ticket: slots.Ticket,
+    ticket: slots.PendingBatch,
     accepted: program.Accepted,
-    place: placing.Place,
+    place: placing.UpstreamAssignment,
     found: program.Program,
     row: rows.Row,
-    plan: placing.Plan,
+    plan: placing.CallPlan,
   ) -> None:
     """Returns once the record is committed and the upstream permit is held.
 
@@ -219,7 +223,7 @@
       )
     return row
 
-  async def _take_back(
+  async def _record_not_run(
     self, accepted: program.Accepted, error: BaseException
   ) -> None:
     """Records a call that was never sent as not run.
@@ -246,7 +250,7 @@
       await asyncio.wait({recording}, timeout=self._config.timing.commit)
       is_recorded = recording.done() and recording.result()
       if not is_recorded and isinstance(error, errors.WoadrunError):
-        error.ran = errors.Ran.UNKNOWN
+        error.ran = errors.RunStatus.UNKNOWN
 
   async def _try_record_outcome(self, finished: program.Finished) -> bool:
     """Returns whether an outcome took effect; logs errors."""
@@ -262,7 +266,7 @@
     self,
     running: execution.Execution,
     accepted: program.Accepted,
-    place: placing.Place,
+    place: placing.UpstreamAssignment,
     row: rows.Row,
   ) -> None:
     """Sends an accepted call, records its outcome and delivers the answer.
@@ -297,9 +301,9 @@
 
   def _get_owned_program(self, program_id: str) -> program.Program:
     _, slot = calls.split_program_id(program_id)
-    holding = self._held.holding_by_slot.get(slot)
+    holding = self._held.owned_slot_by_number.get(slot)
     if holding is None:
-      raise slots.make_not_owner(
+      raise slots.make_not_owner_error(
         f'Slot {slot} was handed over to another daemon.'
       )
     return holding.state.get_program(program_id)
@@ -309,7 +313,7 @@
   ) -> program.Finished:
     error = make_cancelled(running)
     if not accepted.repeatable:
-      error.ran = errors.Ran.UNKNOWN
+      error.ran = errors.RunStatus.UNKNOWN
     # The token usage of a cancelled call is unknown, so its whole reserve is
     # charged.
     return make_failed(accepted, error, now=self.clock(), used=accepted.reserve)
@@ -352,15 +356,15 @@
           raise errors.WoadrunError(
             errors.Code.OUTCOME_UNKNOWN,
             'The call ran, but its outcome could not be committed.',
-            ran=errors.Ran.RAN,
+            ran=errors.RunStatus.RAN,
           ) from error
       await asyncio.sleep(self._config.timing.heartbeat / 5)
 
   async def _record_once(
     self, slot: int, finished: program.Finished
-  ) -> messages.Recorded:
-    message = messages.Finish(slot=slot, record=finished)
-    if slot in self._held.holding_by_slot:
+  ) -> messages.OutcomeRecorded:
+    message = messages.ReportOutcome(slot=slot, record=finished)
+    if slot in self._held.owned_slot_by_number:
       return await self.note_finished(message)
     owner_address = self._members.directory.get_owner(
       self._members.domain, slot
@@ -369,11 +373,13 @@
       owner_address,
       'finish',
       message,
-      type=messages.Recorded,
+      type=messages.OutcomeRecorded,
       timeout=self._config.timing.commit + 1.0,
     )
 
-  async def note_finished(self, message: messages.Finish) -> messages.Recorded:
+  async def note_finished(
+    self, message: messages.ReportOutcome
+  ) -> messages.OutcomeRecorded:
     """Commits the outcome of a call that any daemon executed."""
     record = message.record
     holding = await self._held.open(message.slot)
@@ -384,7 +390,7 @@
     has_outcome = found is None or found.has_outcome(record)
     if not has_outcome:
       log.info('Request %s already has a different outcome.', record.request)
-    return messages.Recorded(has_outcome=has_outcome)
+    return messages.OutcomeRecorded(has_outcome=has_outcome)
 
   def _get_retry_budget(self, row: rows.Row) -> admission.RetryBudget:
     return self._retry_budget_by_row.setdefault(
@@ -434,7 +440,7 @@
   that the failed call is charged for.
   """
   is_retryable = accepted.repeatable and error.code is not errors.Code.CANCELLED
-  if is_retryable or error.ran is errors.Ran.NOT_RUN:
+  if is_retryable or error.ran is errors.RunStatus.NOT_RUN:
     return program.Finished(
       program=accepted.program,
       request=accepted.request,
@@ -443,7 +449,7 @@
       time=now,
       used=used,
     )
-  is_unknown = error.ran is errors.Ran.UNKNOWN
+  is_unknown = error.ran is errors.RunStatus.UNKNOWN
   return program.Finished(
     program=accepted.program,
     request=accepted.request,
@@ -475,7 +481,9 @@
 def make_cancelled(running: execution.Execution) -> errors.WoadrunError:
   """Returns the error for a call that was cancelled."""
   reason = running.cancel_reason or 'the daemon is stopping'
-  ran = errors.Ran.RAN if running.is_accepted else errors.Ran.NOT_RUN
+  ran = (
+    errors.RunStatus.RAN if running.is_accepted else errors.RunStatus.NOT_RUN
+  )
   return errors.WoadrunError(
     errors.Code.CANCELLED, f'The call was aborted: {reason}.', ran=ran
   )
@@ -489,6 +497,6 @@
   return errors.WoadrunError(
     errors.Code.OWNER_UNAVAILABLE,
     f'Request {request} was completed by another daemon.',
-    ran=errors.Ran.UNKNOWN,
+    ran=errors.RunStatus.UNKNOWN,
     retry_after=SUPERSEDED_RETRY_AFTER_SECONDS,
   )
--- a/src/woadrun/request/serving.py
+++ b/src/woadrun/request/serving.py
@@ -20,7 +20,7 @@
 from woadrun.request import events
 from woadrun.request import exchange
 from woadrun.request import rates
-from woadrun.request import turn_leave
+from woadrun.request import turn_client
 from woadrun.version import instances
 from woadrun.version import routes
 from woadrun.version import teams
@@ -33,7 +33,7 @@
 OPEN_RETRY_AFTER_SECONDS = 0.5
 
 
-class Serving:
+class RequestHandler:
   """Handles all requests of one daemon."""
 
   def __init__(
@@ -41,9 +41,9 @@
     *,
     known: catalogue.Catalogue,
     access: authorization.Authorization,
-    limits: rates.Rates,
-    send: attempts.Attempts,
-    leave: turn_leave.TurnLeave,
+    limits: rates.RateLimitClient,
+    send: attempts.RequestSender,
+    leave: turn_client.TurnClient,
     domain: str,
     counts: counters.Counters,
   ) -> None:
@@ -52,7 +52,7 @@
     self._access = access
     self._limits = limits
     self._attempts = send
-    self._leave = leave
+    self._turn_client = leave
     self._domain = domain
     self._close_tasks: set[asyncio.Task[None]] = set()
     self.active = 0
@@ -69,7 +69,7 @@
     started_at = time.monotonic()
     kind, outcome, reason = 'unknown', 'broken_off', ''
     try:
-      await self._catalogue.wait_known()
+      await self._catalogue.wait_until_known()
       grant = await self._access.grant(request)
       route = grant.route
       kind = route.kind.value
@@ -170,7 +170,7 @@
     remaining = exchange.get_seconds_left(deadline)
     try:
       async with asyncio.timeout(remaining):
-        return await self._leave.open(
+        return await self._turn_client.open(
           id, turn, keeps_history=route.keeps_history
         )
     except TimeoutError:
@@ -193,10 +193,12 @@
     # The caller may continue from the turn as soon as its response ends, so the
     # response does not end before the turn is durable.
     message = self._make_close_message(running, is_complete=True)
-    await self._leave.close(message, home=running.opened.home or self._domain)
+    await self._turn_client.close(
+      message, home=running.opened.home or self._domain
+    )
     running.is_closed = True
     if message.turn is not None:
-      self._leave.record_history(running.opened, message.turn)
+      self._turn_client.record_history(running.opened, message.turn)
     log.info(
       'Turn %s of %s is kept: %d events, %d tokens.',
       running.id,
@@ -215,7 +217,7 @@
       program=turn.program,
       request=running.id,
       tokens=tokens,
-      instance=running.instance.life if running.instance else '',
+      instance=running.instance.incarnation_id if running.instance else '',
       parts=_add_output_tokens(turn.parts, tokens),
       turn=_make_turn(running, tokens) if is_complete else None,
     )
@@ -243,7 +245,7 @@
     self, message: turn_messages.CloseTurn, home: str
   ) -> None:
     try:
-      await self._leave.close(message, home=home)
+      await self._turn_client.close(message, home=home)
     except errors.WoadrunError as error:
       # The budget then counts the reserved tokens, which are more than the
       # caller received.
@@ -283,7 +285,7 @@
     input=running.request.body,
     output=bytes(running.reader.data),
     tokens=tokens,
-    instance=running.instance.life if running.instance else '',
+    instance=running.instance.incarnation_id if running.instance else '',
     ended_at=time.time(),
     retention=running.route.retention,
   )
@@ -302,12 +304,12 @@
 
 
 def _add_output_tokens(
-  parts: tuple[turn_messages.Part, ...], tokens: int
-) -> tuple[turn_messages.Part, ...]:
+  parts: tuple[turn_messages.PromptPart, ...], tokens: int
+) -> tuple[turn_messages.PromptPart, ...]:
   """Returns the parts of a prompt, with the output added to the last one."""
   if not parts:
     return ()
-  last = turn_messages.Part(parts[-1].id, parts[-1].tokens + tokens)
+  last = turn_messages.PromptPart(parts[-1].id, parts[-1].tokens + tokens)
   return (*parts[:-1], last)
 
 
--- a/src/woadrun/request/turn_leave.py
+++ b/src/woadrun/request/turn_client.py
@@ -19,12 +19,12 @@
 from woadrun.connection import peers
 from woadrun.connection import turn_messages
 from woadrun.decisions import retry_after
-from woadrun.process import beats
 from woadrun.process import fleet
+from woadrun.process import fleet_heartbeats
 from woadrun.process import programs
 from woadrun.process import turn_store
 from woadrun.request import exchange
-from woadrun.request import recent_lines
+from woadrun.request import history_cache
 
 log = logging.getLogger('woadrun.turns')
 
@@ -51,7 +51,7 @@
 )
 
 
-class TurnLeave:
+class TurnClient:
   """Client of the owners of programs, which admit turns.
 
   `get_outage` returns for how many seconds a part of the system has been
@@ -72,7 +72,7 @@
     self._peers = links
     self._turn_store = turns
     self._get_outage = get_outage
-    self._recent_lines = recent_lines.RecentLines()
+    self._recent_lines = history_cache.HistoryCache()
 
   # --- Opening a turn -------------------------------------------------------
 
@@ -111,7 +111,7 @@
   ) -> turn_messages.OpenedTurn:
     own_domain = self._members.me.domain
     try:
-      opened = await self._open_in(own_domain, message)
+      opened = await self._open_in_domain(own_domain, message)
     except errors.WoadrunError as error:
       if error.code not in INCONCLUSIVE_CODES:
         raise
@@ -134,7 +134,7 @@
       # The home domain need not send a history that this domain already has.
       is_brief = message.is_brief or opened.has_history
       message_to_home = msgspec.structs.replace(message, is_brief=is_brief)
-      granted = await self._open_in(opened.home, message_to_home)
+      granted = await self._open_in_domain(opened.home, message_to_home)
       if not granted.home:
         history = opened if opened.has_history else granted
         return msgspec.structs.replace(
@@ -165,13 +165,13 @@
     try:
       # The program has a home domain, so it must not be created here, even if
       # the row store has no row of it yet.
-      return await self._open_in(
+      return await self._open_in_domain(
         own_domain, msgspec.structs.replace(message, is_away=True, begins=False)
       )
     except errors.WoadrunError as error:
       raise self._make_refusal(error) from error
 
-  async def _open_in(
+  async def _open_in_domain(
     self, domain: str, message: turn_messages.OpenTurn
   ) -> turn_messages.OpenedTurn:
     members = self._members.rank(message.program, domain)[:MAX_MEMBERS_ASKED]
@@ -213,7 +213,7 @@
     # in this domain.
     without_create = msgspec.structs.replace(message, begins=False)
     results = await asyncio.gather(
-      *(self._open_in(domain, without_create) for domain in others),
+      *(self._open_in_domain(domain, without_create) for domain in others),
       return_exceptions=True,
     )
     for domain, result in zip(others, results, strict=True):
@@ -238,7 +238,7 @@
 
   async def _open_at(
     self,
-    member: beats.Member,
+    member: fleet_heartbeats.Member,
     message: turn_messages.OpenTurn,
     *,
     is_new: bool = False,
@@ -315,7 +315,7 @@
         home,
         error.message,
       )
-      self._local_programs.keep(unsaved)
+      self._local_programs.keep_turn(unsaved)
       own_domain = self._members.me.domain
       await self._close_in(
         own_domain, msgspec.structs.replace(unsaved, is_away=True)
@@ -345,7 +345,11 @@
   # --- Messages to peers ----------------------------------------------------
 
   async def _post_with_resend(
-    self, member: beats.Member, path: str, message: object, type: type[T]
+    self,
+    member: fleet_heartbeats.Member,
+    path: str,
+    message: object,
+    type: type[T],
   ) -> T:
     started_at = time.monotonic()
 
@@ -376,14 +380,14 @@
           len(tasks) == 1
           and time.monotonic() - started_at > RESEND_DELAY_SECONDS
         ):
-          self._peers.note_silence(member.address)
+          self._peers.reset_connections(member.address)
           tasks.append(post())
     except peers.NoAnswer:
       # Only a peer that does not answer counts as failed; one that refuses is
       # healthy.  When refusals counted as well, owners whose share of a budget
       # was spent were avoided during a partition, until daemons considered
       # themselves isolated and refused all requests.
-      self._members.note_failure(member.name)
+      self._members.record_failure(member.name)
       raise
     finally:
       for task in tasks:
--- a/src/woadrun/request/upstreams.py
+++ b/src/woadrun/request/upstreams.py
@@ -49,7 +49,7 @@
     config: settings.Settings,
     session: aiohttp.ClientSession,
     members: membership.Membership,
-    places: placing.Placing,
+    places: placing.CallPlacer,
     store: objects.ObjectStore,
   ) -> None:
     super().__init__()
@@ -57,7 +57,7 @@
     self._members = members
     self._places = places
     self._store = store
-    self.engine_by_name = {
+    self.engine_client_by_name = {
       e.name: engine.Engine(session=session, url=e.url) for e in config.engines
     }
     self._timeout_by_service = {s.name: s.timeout for s in config.services}
@@ -74,8 +74,8 @@
     self,
     call: calls.Call,
     found: program.Program,
-    plan: placing.Plan,
-    place: placing.Place,
+    plan: placing.CallPlan,
+    place: placing.UpstreamAssignment,
     digest: str,
     *,
     now: float,
@@ -114,7 +114,7 @@
     self,
     running: execution.Execution,
     accepted: program.Accepted,
-    place: placing.Place,
+    place: placing.UpstreamAssignment,
     found: program.Program,
     row: rows.Row,
     retry_budget: admission.RetryBudget,
@@ -134,7 +134,7 @@
           raise errors.WoadrunError(
             errors.Code.UPSTREAM_FAILED,
             f'{place.name} rejected the call: {error}.',
-            ran=errors.Ran.RAN,
+            ran=errors.RunStatus.RAN,
           ) from error
         reason = str(error)
       except STREAM_ERRORS as error:
@@ -148,10 +148,10 @@
     relay: model_call.Relay,
     running: execution.Execution,
     accepted: program.Accepted,
-    place: placing.Place,
+    place: placing.UpstreamAssignment,
     found: program.Program,
   ) -> None:
-    client = self.engine_by_name[place.name]
+    client = self.engine_client_by_name[place.name]
     if place.is_resumed:
       stream = client.resume(accepted.stream)
     else:
@@ -181,7 +181,7 @@
     relay: model_call.Relay,
     running: execution.Execution,
     accepted: program.Accepted,
-    place: placing.Place,
+    place: placing.UpstreamAssignment,
     found: program.Program,
   ) -> program.Finished:
     answer = engine.read_answer(bytes(relay.received))
@@ -208,7 +208,7 @@
 
   async def _fail_over(
     self,
-    place: placing.Place,
+    place: placing.UpstreamAssignment,
     accepted: program.Accepted,
     found: program.Program,
     row: rows.Row,
@@ -262,7 +262,7 @@
         if accepted.repeatable and retry_budget.take():
           self.retries += 1
           continue
-        if error.ran is errors.Ran.UNKNOWN and not accepted.repeatable:
+        if error.ran is errors.RunStatus.UNKNOWN and not accepted.repeatable:
           outcome = await self.query_outcome(accepted)
           if outcome is not None:
             return outcome
@@ -299,15 +299,15 @@
 
   def drop_program_cache(self, program_id: str, engine_name: str) -> None:
     """Frees the prefix cache that an engine holds for a program."""
-    if engine_name in self.engine_by_name:
+    if engine_name in self.engine_client_by_name:
       self.add_future(self._drop_cache(program_id, engine_name))
 
   async def _drop_cache(self, program_id: str, engine_name: str) -> None:
     domain = self._places.get_domain(engine_name)
     for _ in range(DROP_ATTEMPTS):
       try:
-        await self.engine_by_name[engine_name].drop_cache(
-          program_id, fencing=self._members.directory.get_fencing(domain)
+        await self.engine_client_by_name[engine_name].drop_cache(
+          program_id, fencing=self._members.directory.get_fencing_token(domain)
         )
         return
       except errors.WoadrunError as error:
@@ -337,7 +337,7 @@
     }
 
 
-def _get_stored_body(call: calls.Call, plan: placing.Plan) -> str:
+def _get_stored_body(call: calls.Call, plan: placing.CallPlan) -> str:
   # The messages of a model call are stored once, in the field `messages` of
   # its record, which holds only those that are new to the history.
   if call.call != program.MODEL:
@@ -356,7 +356,7 @@
   return errors.WoadrunError(
     errors.Code.OUTCOME_UNKNOWN,
     f'It is unknown whether action {make_service_id(accepted)} ran.',
-    ran=errors.Ran.UNKNOWN,
+    ran=errors.RunStatus.UNKNOWN,
   )
 
 
@@ -365,7 +365,7 @@
   return errors.WoadrunError(
     errors.Code.UPSTREAM_FAILED,
     f'{name} failed: {reason}.',
-    ran=errors.Ran.RAN,
+    ran=errors.RunStatus.RAN,
     retry_after=1.0,
   )
 
--- a/src/woadrun/standins/base.py
+++ b/src/woadrun/standins/base.py
@@ -76,7 +76,7 @@
 
   async def _set_faults(self, request: web.Request) -> web.Response:
     self.faults = msgspec.json.decode(await request.read(), type=Faults)
-    return make_json({})
+    return make_json_response({})
 
   @web.middleware
   async def _apply_faults(
@@ -116,7 +116,7 @@
     return True
 
 
-def make_json(data: Any, status: int = 200) -> web.Response:
+def make_json_response(data: Any, status: int = 200) -> web.Response:
   """Returns a response with `data` encoded as JSON."""
   return web.Response(
     body=msgspec.json.encode(data),
--- a/src/woadrun/standins/engine.py
+++ b/src/woadrun/standins/engine.py
@@ -177,7 +177,7 @@
     stream = self._stream_by_id.get(request.match_info['id'])
     if stream is not None:
       stream.is_cancelled = True
-    return base.make_json({})
+    return base.make_json_response({})
 
   # --- Cache ----------------------------------------------------------------
 
@@ -193,7 +193,7 @@
     del self._cache_events[:-MAX_RETAINED_CACHE_EVENTS]
 
   async def _get_cache(self, request: web.Request) -> web.Response:
-    return base.make_json(
+    return base.make_json_response(
       [{'salt': s, 'tokens': t} for s, t in self._tokens_by_salt.items()]
     )
 
@@ -201,7 +201,7 @@
     # Events are reported late and may be missed: only the latest ones are
     # retained.
     reported_until = time.time() - self._report_lag
-    return base.make_json(
+    return base.make_json_response(
       [e for e in self._cache_events if e['time'] < reported_until]
     )
 
@@ -211,17 +211,17 @@
       return web.Response(status=409)
     if self._tokens_by_salt.pop(message['salt'], None) is not None:
       self._record_cache_event('dropped', message['salt'])
-    return base.make_json({})
+    return base.make_json_response({})
 
   async def _export_cache(self, request: web.Request) -> web.Response:
     message = await request.json()
     tokens = self._tokens_by_salt.get(message['salt'], 0)
-    return base.make_json({'salt': message['salt'], 'tokens': tokens})
+    return base.make_json_response({'salt': message['salt'], 'tokens': tokens})
 
   async def _import_cache(self, request: web.Request) -> web.Response:
     message = await request.json()
     self._cache_prefix(message['salt'], message['tokens'])
-    return base.make_json({})
+    return base.make_json_response({})
 
   # --- Orders and load ------------------------------------------------------
 
@@ -237,7 +237,7 @@
     if self._is_stale(message):
       return web.Response(status=409)
     self.orders.append(message)
-    return base.make_json({})
+    return base.make_json_response({})
 
   async def _get_load(self, request: web.Request) -> web.Response:
     now = time.monotonic()
@@ -248,11 +248,11 @@
         'cached_tokens': sum(self._tokens_by_salt.values()),
       }
       self._reported_at = now
-    return base.make_json(self._load_report)
+    return base.make_json_response(self._load_report)
 
   async def _set_slowdown(self, request: web.Request) -> web.Response:
     self.slowdown = float((await request.json())['factor'])
-    return base.make_json({})
+    return base.make_json_response({})
 
 
 class _PrioritySemaphore:
--- a/src/woadrun/standins/platform.py
+++ b/src/woadrun/standins/platform.py
@@ -48,7 +48,7 @@
     first = bisect.bisect_right(keys, request.query.get('after', ''))
     page = keys[first : first + int(request.query.get('limit', '100'))]
     rows = self._rows_by_table.get(table, {})
-    return base.make_json(
+    return base.make_json_response(
       [{'key': k, 'value': rows[k][1].decode()} for k in page]
     )
 
@@ -82,7 +82,7 @@
 
   async def _list_objects(self, request: web.Request) -> web.Response:
     prefix = request.query.get('prefix', '')
-    return base.make_json(
+    return base.make_json_response(
       sorted(k for k in self._objects if k.startswith(prefix))
     )
 
@@ -101,7 +101,7 @@
     return web.Response(status=204)
 
   async def _get_vms(self, request: web.Request) -> web.Response:
-    return base.make_json(self._vms)
+    return base.make_json_response(self._vms)
 
   async def _put_vms(self, request: web.Request) -> web.Response:
     self._vms = await request.json()
@@ -115,7 +115,7 @@
       return web.Response(body=request.match_info['model'].encode())
 
   async def _get_counts(self, request: web.Request) -> web.Response:
-    return base.make_json(
+    return base.make_json_response(
       {
         'requests': self.requests,
         'writes': self.writes,
--- a/src/woadrun/standins/rows.py
+++ b/src/woadrun/standins/rows.py
@@ -10,7 +10,7 @@
 from woadrun.connection import rows
 
 
-class MemoryRows:
+class MemoryRowStore:
   """Implements `rows.RowStore` in memory.
 
   Faults are injected by attributes.  With `is_out` all calls fail without an
@@ -67,7 +67,7 @@
     self._change_event.set()
     self._change_event = asyncio.Event()
     if self.loses_answers:
-      raise _make_unavailable_error(errors.Ran.UNKNOWN)
+      raise _make_unavailable_error(errors.RunStatus.UNKNOWN)
     return rows.Outcome(
       is_done=True, version=self.version, clock=time.monotonic()
     )
@@ -115,12 +115,12 @@
       rows=tuple(matching_rows), version=self.version, clock=time.monotonic()
     )
 
-  def wake_followers(self) -> None:
+  def notify_followers(self) -> None:
     """Wakes all waiting `follow` calls, for example after a fault was set."""
     self._change_event.set()
     self._change_event = asyncio.Event()
 
-  def remove_in_outage(self, key: rows.Key) -> None:
+  def remove_without_notification(self, key: rows.Key) -> None:
     """Removes a row even if `is_out` is set, without waking `follow` calls."""
     self.version += 1
     del self.row_by_key[key]
@@ -140,10 +140,10 @@
 
   def _raise_if_out(self) -> None:
     if self.is_out:
-      raise _make_unavailable_error(errors.Ran.NOT_RUN)
+      raise _make_unavailable_error(errors.RunStatus.NOT_RUN)
 
 
-def _make_unavailable_error(ran: errors.Ran) -> errors.WoadrunError:
+def _make_unavailable_error(ran: errors.RunStatus) -> errors.WoadrunError:
   return errors.WoadrunError(
     errors.Code.PLATFORM_UNAVAILABLE, 'The store is unavailable.', ran=ran
   )
--- a/src/woadrun/standins/service.py
+++ b/src/woadrun/standins/service.py
@@ -50,7 +50,7 @@
       'runs': self.runs_by_id[request_id],
       'size': len(body),
     }
-    response = base.make_json(data)
+    response = base.make_json_response(data)
     if isinstance(response.body, bytes):
       self._response_by_id[request_id] = response.body
     return response
@@ -62,4 +62,4 @@
     return web.Response(body=response_body, content_type='application/json')
 
   async def _get_runs(self, request: web.Request) -> web.Response:
-    return base.make_json(self.runs_by_id)
+    return base.make_json_response(self.runs_by_id)
--- a/src/woadrun/version/instances.py
+++ b/src/woadrun/version/instances.py
@@ -34,7 +34,7 @@
   born: int = 0
 
   @property
-  def life(self) -> str:
+  def incarnation_id(self) -> str:
     """The id with the start time, which identifies the incarnation.
 
     Measurements of an instance are stored under this key.
@@ -47,7 +47,9 @@
 
   def __init__(self, found: Sequence[Instance] = ()) -> None:
     self.all = tuple(found)
-    self.by_life = {instance.life: instance for instance in found}
+    self.by_incarnation_id = {
+      instance.incarnation_id: instance for instance in found
+    }
     self._by_domain: dict[str, list[Instance]] = {}
     for instance in found:
       self._by_domain.setdefault(instance.domain, []).append(instance)
@@ -98,9 +100,9 @@
     if len(self._newest_born_by_id) > MAX_REMEMBERED_IDS:
       del self._newest_born_by_id[next(iter(self._newest_born_by_id))]
 
-  def get_lives(self) -> set[str]:
-    """Returns the `life` of each known instance."""
-    return {instance.life for instance in self.by_id.values()}
+  def get_incarnation_ids(self) -> set[str]:
+    """Returns the `incarnation_id` of each known instance."""
+    return {instance.incarnation_id for instance in self.by_id.values()}
 
   def remove(self, id: str) -> Instance | None:
     """Removes and returns an entry, or returns None if there is none."""
--- a/src/woadrun/version/ledger.py
+++ b/src/woadrun/version/ledger.py
@@ -77,7 +77,7 @@
     )
 
   @property
-  def owes(self) -> bool:
+  def has_uncounted_turns(self) -> bool:
     """Whether a turn is counted here but is absent from the saved row.
 
     A turn that the row still has as reserved does not matter: the row counts
@@ -103,7 +103,7 @@
     if request not in self.given:
       self.reserved.setdefault(request, tokens)
 
-  def withdraw(self, request: str) -> None:
+  def cancel_reservation(self, request: str) -> None:
     """Removes the reservation of a turn that this owner refuses.
 
     Unlike `settle`, this records no outcome: another owner may have reserved
--- a/src/woadrun/version/prefixes.py
+++ b/src/woadrun/version/prefixes.py
@@ -31,7 +31,11 @@
     self._cached_by_instance: dict[str, _CachedParts] = {}
 
   def note(
-    self, instance: str, parts: Iterable[turn_messages.Part], *, now: float
+    self,
+    instance: str,
+    parts: Iterable[turn_messages.PromptPart],
+    *,
+    now: float,
   ) -> None:
     """Records that an instance has processed a prompt."""
     cached = self._cached_by_instance.setdefault(instance, _CachedParts())
@@ -41,7 +45,7 @@
       cached.tokens_by_part[part.id] = max(known, part.tokens)
 
   def find(
-    self, parts: Iterable[turn_messages.Part], *, now: float
+    self, parts: Iterable[turn_messages.PromptPart], *, now: float
   ) -> dict[str, int]:
     """Returns the cached tokens of a prompt by instance.
 
@@ -60,7 +64,7 @@
 
 
 def _count_cached_tokens(
-  cached: _CachedParts, parts: list[turn_messages.Part]
+  cached: _CachedParts, parts: list[turn_messages.PromptPart]
 ) -> int:
   """Returns the number of cached tokens at the start of a prompt."""
   total = 0
--- a/src/woadrun/version/roster.py
+++ b/src/woadrun/version/roster.py
@@ -227,7 +227,7 @@
   return ranked[0] if ranked else ''
 
 
-def plan_give_away(
+def plan_rebalance(
   roster: Roster, address: str, *, unfit: Collection[str]
 ) -> tuple[list[int], str]:
   """Returns the slots that `address` should hand over, and the receiver.
--- a/src/woadrun/version/spending.py
+++ b/src/woadrun/version/spending.py
@@ -13,7 +13,7 @@
 RETENTION_SECONDS = 30.0
 
 
-class Spending:
+class SpendingHistory:
   """Recent values of a program's settled tokens.
 
   Reserved tokens are not included, since other domains are notified when a turn
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from woadrun import errors
-from woadrun.connection import fresh
 from woadrun.connection import peers
 from woadrun.connection import rows
+from woadrun.connection import tcp_connections
 from woadrun.platform import discovery
 from woadrun.platform import operator
 from woadrun.process import node
@@ -184,7 +184,7 @@
   def __init__(self, *, config=CONFIG, revocation=None):
     self.config = config
     self.revocation = revocation
-    self.shared = standin.MemoryRows()
+    self.shared = standin.MemoryRowStore()
     self.cut = set()
     self.engines = Engines()
     self.view_by_name = {}
@@ -228,7 +228,7 @@
   async def _start(self, name, *, address=None):
     session = await self._stack.enter_async_context(
       aiohttp.ClientSession(
-        connector=fresh.make_connector(limit=100, keepalive=4.0)
+        connector=tcp_connections.make_connector(limit=100, keepalive=4.0)
       )
     )
     view = self.view_by_name.setdefault(name, View(self.shared))
@@ -247,7 +247,7 @@
       config=config,
       session=session,
       binding=node.Binding(
-        addresses=fresh.Addresses(),
+        addresses=tcp_connections.Addresses(),
         store=view,
         upstreams=self.engines,
         table_key=rows.Key('op', '', 'config'),
@@ -306,7 +306,7 @@
       lambda: all(
         item.is_ready()
         and item.store.is_direct
-        and len(item.fleet.heard_by_name) == len(self.by_name) - 1
+        and len(item.fleet.last_heartbeat_by_name) == len(self.by_name) - 1
         and item.catalogue.directory.find('models')
         for item in self.by_name.values()
       )
@@ -354,7 +354,7 @@
     views = self.view_by_name.values()
     return [c for view in views for c in view.calls if c[1] in tables]
 
-  def get_written(self):
+  def get_written_sequence(self):
     """Returns the names of the rows that daemons wrote, one per write."""
     views = self.view_by_name.values()
     return [name for view in views for name in view.written]
@@ -366,7 +366,7 @@
 
 
 def _make_config_row(config):
-  value = operator.seal(msgspec.json.encode(config))
+  value = operator.hash_api_keys(msgspec.json.encode(config))
   return rows.Key('op', '', 'config'), value
 
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -50,7 +50,7 @@
     await asyncio.sleep(3.5)
     runs = list(fleet.outside.services[0].runs_by_id.values())
   assert error.code == retried.code == 'outcome_unknown'
-  assert error.ran is retried.ran is errors.Ran.UNKNOWN
+  assert error.ran is retried.ran is errors.RunStatus.UNKNOWN
   assert runs == [1]
 
 
@@ -135,7 +135,7 @@
     )
     history = await client.ask('GET', f'/v1/programs/{program_id}/history')
   assert error.code == 'not_committed'
-  assert error.ran is errors.Ran.NOT_RUN and error.retry_after
+  assert error.ran is errors.RunStatus.NOT_RUN and error.retry_after
   assert list(runs.values()) == [1]
   assert second['runs'] == 1
   assert [m['content'] for m in history['messages']][2:] == ['after', said]
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -7,8 +7,8 @@
 
 from woadrun import errors
 from woadrun.decisions import hedging
-from woadrun.request import cut_watch
 from woadrun.request import exchange
+from woadrun.request import partition_monitor
 
 
 async def ask(fleet, path, *faults):
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
   'fault',
   [
-    exchange.NotSent('refused'),
+    exchange.RequestNotSent('refused'),
     nodes.make_reply(status=503, has_run=False),
     nodes.make_reply(status=421, has_run=False),
   ],
@@ -44,7 +44,7 @@
     with pytest.raises(errors.WoadrunError) as caught:
       await ask(fleet, '/act/', fault)
     assert len(fleet.engines.sent) == 1
-    assert caught.value.ran is errors.Ran.UNKNOWN
+    assert caught.value.ran is errors.RunStatus.UNKNOWN
     assert caught.value.status == 502
 
 
@@ -61,7 +61,7 @@
     with pytest.raises(errors.WoadrunError) as caught:
       await ask(fleet, '/act/', *full)
     assert caught.value.status == 503
-    assert caught.value.ran is errors.Ran.NOT_RUN
+    assert caught.value.ran is errors.RunStatus.NOT_RUN
     assert caught.value.retry_after > 0
     assert len(fleet.engines.sent) == 2
 
@@ -107,7 +107,7 @@
     await asyncio.wait(tasks, timeout=1.1)
     for task in tasks:
       task.cancel()
-    most = hedging.MOST_SAVED + hedging.SHARE * len(requests)
+    most = hedging.MAX_SAVED_HEDGES + hedging.SHARE * len(requests)
     assert len(fleet.engines.sent) <= len(requests) + most
 
 
@@ -127,11 +127,11 @@
     daemon = fleet.by_name['n1']
     running = asyncio.ensure_future(fleet.turn('n1', 'a'))
     await nodes.wait_until(lambda: daemon.loads.get_running())
-    await asyncio.sleep(2 * cut_watch.LOOK_SECONDS)
+    await asyncio.sleep(2 * partition_monitor.LOOK_SECONDS)
     # The silence of the domain alone does not abort the stream: while the store
     # is reachable, the instance may still be healthy.
     daemon.fleet.is_silent = lambda domain: True
-    await asyncio.sleep(2 * cut_watch.LOOK_SECONDS)
+    await asyncio.sleep(2 * partition_monitor.LOOK_SECONDS)
     assert not running.done()
     fleet.shared.is_out = True
     with pytest.raises(exchange.Lost):
--- a/tests/test_budget_in_a_cut.py
+++ b/tests/test_budget_in_partition.py
@@ -35,7 +35,9 @@
 
 async def wait_for_silence(*daemons):
   """Returns once each of the daemons finds another domain silent."""
-  await nodes.wait_until(lambda: all(d.fleet.find_silent() for d in daemons))
+  await nodes.wait_until(
+    lambda: all(d.fleet.find_silent_domains() for d in daemons)
+  )
 
 
 @pytest.mark.parametrize('before', [3, 12])
@@ -78,7 +80,7 @@
     fleet.shared.is_out = True
     south, north = fleet.by_name['s1'], fleet.by_name['n1']
     await nodes.wait_until(
-      lambda: not (south.store.is_reached or north.store.is_reached)
+      lambda: not (south.store.is_reachable or north.store.is_reachable)
     )
     ran.append(await run_more_turns(fleet, 's1', 40))
     fleet.cut_off('south')
@@ -107,10 +109,15 @@
     for name in ('n1', 's1'):
       ran.append(await spend_all(fleet, name, name))
     fleet.shared.is_out = True
-    await nodes.wait_until(lambda: not north.store.is_reached)
+    await nodes.wait_until(lambda: not north.store.is_reachable)
     fleet.cut.clear()
     await nodes.wait_until(
-      lambda: not (south.fleet.find_unsettled() or north.fleet.find_unsettled())
+      lambda: (
+        not (
+          south.fleet.find_unsettled_domains()
+          or north.fleet.find_unsettled_domains()
+        )
+      )
     )
     ran.append(await spend_all(fleet, 's1', 'healed'))
     assert sum(ran) * TURN_TOKENS <= BUDGET + MAX_TURN_TOKENS
@@ -172,7 +179,7 @@
     ran = [await run_turns(fleet, 's1', 1)]
     fleet.shared.is_out = True
     await nodes.wait_until(
-      lambda: not any(d.store.is_reached for d in fleet.by_name.values())
+      lambda: not any(d.store.is_reachable for d in fleet.by_name.values())
     )
     ran.append(await run_more_turns(fleet, 's1', 40))
     north = fleet.by_name['n1'].programs
@@ -186,7 +193,7 @@
       lambda: all(
         fleet.by_name[name].is_ready()
         and fleet.by_name[name].store.is_direct
-        and 'n1' in fleet.by_name[name].fleet.heard_by_name
+        and 'n1' in fleet.by_name[name].fleet.last_heartbeat_by_name
         for name in ('s3', 's4')
       )
     )
@@ -220,8 +227,8 @@
     await run_turns(fleet, 'n1', 1)
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
     south.programs.entry_by_program.clear()
-    leave = south.serving._leave
-    open_in, silent = leave._open_in, ['south', 'north']
+    leave = south.serving._turn_client
+    open_in, silent = leave._open_in_domain, ['south', 'north']
 
     async def miss_once(domain, ask):
       if domain in silent:
@@ -229,7 +236,7 @@
         raise errors.WoadrunError(errors.Code.NOT_OWNER, 'Not known.')
       return await open_in(domain, ask)
 
-    leave._open_in = miss_once
+    leave._open_in_domain = miss_once
     await fleet.turn('s1', 'b', most=MAX_TURN_TOKENS, budget=BUDGET)
     await nodes.wait_until(
       lambda: (
@@ -249,7 +256,7 @@
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     fleet.cut.add('north')
-    leave = fleet.by_name['s1'].serving._leave
+    leave = fleet.by_name['s1'].serving._turn_client
     ask = turn_messages.OpenTurn(
       program='p', request='a', most=MAX_TURN_TOKENS, budget=BUDGET
     )
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -44,7 +44,7 @@
     assert 0 < sum(TURN_TOKENS for r in results if isinstance(r, tuple)) <= 30
     for result in results:
       if not isinstance(result, tuple):
-        assert result.ran is errors.Ran.NOT_RUN
+        assert result.ran is errors.RunStatus.NOT_RUN
 
 
 async def test_turns_without_history_store_no_turn():
@@ -115,7 +115,7 @@
     await fleet.start('n1', 'n2')
     await spend_and_forget(fleet)
     ran_after, refusal = await spend_all(fleet, 'n1', 'b', budget=56)
-    assert refusal.ran is errors.Ran.NOT_RUN
+    assert refusal.ran is errors.RunStatus.NOT_RUN
     # No daemon knows the program: it gets a share of its budget, once.  Of
     # these turns only the last one may exceed the share.
     assert (ran_after - 1) * TURN_TOKENS < 56 / 2
@@ -127,9 +127,9 @@
     await fleet.start('n1', 'n2')
     await spend_and_forget(fleet)
     items = fleet.by_name.values()
-    await nodes.wait_until(lambda: not any(i.store.is_reached for i in items))
+    await nodes.wait_until(lambda: not any(i.store.is_reachable for i in items))
     ran_after, refusal = await spend_all(fleet, 'n1', 'b', budget=56)
-    assert refusal.ran is errors.Ran.NOT_RUN
+    assert refusal.ran is errors.RunStatus.NOT_RUN
     # The last turn may have settled after the next one was refused.
     ran_at_other, _ = await spend_all(fleet, 'n2', 'c', budget=56)
     assert 0 < (ran_after + ran_at_other - 1) * TURN_TOKENS < 56 / 2
@@ -142,7 +142,7 @@
     await fleet.stop('n1')
     south = fleet.by_name['s1']
     await nodes.wait_until(
-      lambda: not south.store.is_reached and south.fleet.find_silent()
+      lambda: not south.store.is_reachable and south.fleet.find_silent_domains()
     )
     ran, refusal = await spend_all(fleet, 's1', 'a', budget=120)
     assert refusal.status == 503
--- a/tests/test_call_attempts.py
+++ b/tests/test_call_attempts.py
@@ -106,11 +106,11 @@
   )
   found._config = found._config.model_copy(update={'timing': timing})
   run = members.make_recovery(found, members.Links(raise_unavailable))
-  holding = slots.Holding(
+  holding = slots.OwnedSlot(
     number=0, version=roster.Version(1), standby='127.0.0.1:8001', state=state
   )
   holding.opened.set()
-  run._held.holding_by_slot[0] = holding
+  run._held.owned_slot_by_number[0] = holding
   return run, holding
 
 
@@ -118,11 +118,11 @@
   """Grants a permit at one upstream to every call."""
 
   def plan(self, call, found, row):
-    return placing.Plan(names=['s'])
+    return placing.CallPlan(names=['s'])
 
   @contextlib.asynccontextmanager
   async def permits(self, *_):
-    yield placing.Place(name='s')
+    yield placing.UpstreamAssignment(name='s')
 
   async def enter(self, *_):
     pass
@@ -207,21 +207,21 @@
   run, holding = make_owner(state)
   first = make_accepted('first', repeatable=repeatable)
   state.apply([first], answers=9)
-  error = slots.make_not_committed(
+  error = slots.make_not_committed_error(
     'No other daemon has acknowledged the record.', retry_after=0.1
   )
   before = state.sequence
-  await run._runner._take_back(first, error)
+  await run._runner._record_not_run(first, error)
   while state.sequence == before:
     await asyncio.sleep(0)
   # The caller's next attempt is committed by the standby and sent.
   second = make_accepted('second', repeatable=repeatable)
   ticket = run._held.append(holding, [second])
   await asyncio.sleep(2 * COMMIT_TIMEOUT_SECONDS)
-  holding.settle(ticket.append.sequence, slots.Held.STANDBY)
+  holding.settle(ticket.append.sequence, slots.Durability.STANDBY)
   while run._runner._not_run_tasks:
     await asyncio.sleep(COMMIT_TIMEOUT_SECONDS / 10)
-    holding.settle(state.sequence, slots.Held.STANDBY)
+    holding.settle(state.sequence, slots.Durability.STANDBY)
   run._held.append(holding, [make_ok('second')])
   found = state.get_program(PROGRAM)
   call = make_call(repeatable=repeatable)
@@ -249,12 +249,12 @@
   second = make_finished('second', program.NOT_RUN)
   second_recording = asyncio.ensure_future(run._runner.record_outcome(second))
   await asyncio.sleep(0)
-  holding.settle(sequence, slots.Held.STANDBY)
+  holding.settle(sequence, slots.Durability.STANDBY)
   await first_recording
-  assert run.find_running(ask).requests == [(PROGRAM, 'r')]
-  holding.settle(state.sequence, slots.Held.STANDBY)
+  assert run.get_running_calls(ask).requests == [(PROGRAM, 'r')]
+  holding.settle(state.sequence, slots.Durability.STANDBY)
   await second_recording
-  assert run.find_running(ask).requests == []
+  assert run.get_running_calls(ask).requests == []
 
 
 async def test_superseded_attempt_is_not_resumed():
@@ -267,7 +267,7 @@
   first = make_accepted('first')
   state.apply([first], answers=9)
   key = (PROGRAM, 'r')
-  run._elsewhere[key] = None
+  run._handover_by_key[key] = None
   recovering = asyncio.ensure_future(run._recover(key, first))
   await asyncio.sleep(0)
   # The previous owner records "not run" for the first attempt, and the
@@ -279,7 +279,7 @@
   state.apply(records, answers=9)
   newer = execution.make_execution(make_call())
   run._runner.execution_by_key[key] = newer
-  del run._elsewhere[key]
+  del run._handover_by_key[key]
   await recovering
   is_unchanged = run._runner.execution_by_key[key] is newer
   assert is_unchanged
@@ -299,19 +299,19 @@
   ]
   state.apply(records, answers=9)
   key = (PROGRAM, 'r')
-  run._elsewhere[key] = None
+  run._handover_by_key[key] = None
 
   async def note(record):
-    message = messages.Finish(slot=0, record=record)
+    message = messages.ReportOutcome(slot=0, record=record)
     noting = asyncio.ensure_future(run.note_finished(message))
     await asyncio.sleep(0)
-    holding.settle(state.sequence, slots.Held.STANDBY)
+    holding.settle(state.sequence, slots.Durability.STANDBY)
     await noting
 
   await note(make_finished('first', program.NOT_RUN))
-  assert key in run._elsewhere
+  assert key in run._handover_by_key
   await note(make_ok('second'))
-  assert key not in run._elsewhere
+  assert key not in run._handover_by_key
 
 
 @pytest.mark.parametrize('repeatable', [True, False])
@@ -332,7 +332,7 @@
     await run._runner._run(running)
   # The gateway retries on this code and gets the stored answer.
   assert refusal.value.code is errors.Code.OWNER_UNAVAILABLE
-  assert refusal.value.ran is errors.Ran.UNKNOWN
+  assert refusal.value.ran is errors.RunStatus.UNKNOWN
   assert state.get_program(PROGRAM).request_by_id['r'].outcome == program.OK
 
 
@@ -352,12 +352,12 @@
   running = execution.make_execution(make_call(repeatable=False))
   ending = asyncio.ensure_future(
     run._runner.perform(
-      running, accepted, placing.Place(name='s'), rows.Row(key='t')
+      running, accepted, placing.UpstreamAssignment(name='s'), rows.Row(key='t')
     )
   )
   while not holding.tickets:
     await asyncio.sleep(0)
-  holding.settle(state.sequence, slots.Held.STANDBY)
+  holding.settle(state.sequence, slots.Durability.STANDBY)
   with pytest.raises(errors.WoadrunError) as refusal:
     await ending
   assert refusal.value.code is errors.Code.OWNER_UNAVAILABLE
@@ -369,13 +369,13 @@
   run, holding = make_owner(state)
   accepted = make_accepted('first')
   state.apply([accepted, make_ok('first')], answers=9)
-  error = slots.make_not_owner('The slot is being handed over.')
-  taking = asyncio.ensure_future(run._runner._take_back(accepted, error))
+  error = slots.make_not_owner_error('The slot is being handed over.')
+  taking = asyncio.ensure_future(run._runner._record_not_run(accepted, error))
   while not holding.tickets:
     await asyncio.sleep(0)
-  holding.settle(state.sequence, slots.Held.STANDBY)
+  holding.settle(state.sequence, slots.Durability.STANDBY)
   await taking
-  assert error.ran is errors.Ran.UNKNOWN
+  assert error.ran is errors.RunStatus.UNKNOWN
 
 
 # --- Records in any order ----------------------------------------------------
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -49,7 +49,9 @@
     error = await fleets.get_refusal(
       caller.say(program_id, 'x', model=local.MODEL, ordinal=2)
     )
-    assert error.code == 'out_of_order' and error.ran is errors.Ran.NOT_RUN
+    assert (
+      error.code == 'out_of_order' and error.ran is errors.RunStatus.NOT_RUN
+    )
     assert await caller.say(program_id, 'x', model=local.MODEL, ordinal=1)
 
 
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -25,7 +25,7 @@
 
 
 async def make_rows():
-  store = memory.MemoryRows()
+  store = memory.MemoryRowStore()
   entry = nodes.make_entry()
   await store.change(
     writes=[
@@ -73,7 +73,7 @@
   await known.start()
   feed_of_instances = known.feeds[1]
   found = [r for k, r in store.row_by_key.items() if k.table == 'servers']
-  feed_of_instances.take_changes(
+  feed_of_instances.apply_changes(
     feed.Changes(
       rows=tuple(found),
       version=store.version,
@@ -106,7 +106,7 @@
 async def test_the_grace_period_of_expired_entries_starts_with_the_outage_end():
   async with follow(grace=1.0) as (known, store):
     store.is_out = True
-    store.wake_followers()
+    store.notify_followers()
     await nodes.wait_until(lambda: known._instance_feed.is_lost)
     store.is_out = False
     await nodes.wait_until(lambda: not known._instance_feed.is_lost)
@@ -122,7 +122,7 @@
 async def test_an_entry_removed_long_after_an_outage_has_no_grace_period():
   async with follow(grace=1.0) as (known, store):
     store.is_out = True
-    store.wake_followers()
+    store.notify_followers()
     await nodes.wait_until(lambda: known._instance_feed.is_lost)
     store.is_out = False
     await nodes.wait_until(lambda: not known._instance_feed.is_lost)
@@ -137,9 +137,9 @@
 async def test_an_entry_that_expired_in_an_outage_is_kept_for_a_while():
   async with follow(grace=0.6) as (known, store):
     store.is_out = True
-    store.wake_followers()
+    store.notify_followers()
     await nodes.wait_until(lambda: known._instance_feed.is_lost)
-    store.remove_in_outage(server_key('e1'))
+    store.remove_without_notification(server_key('e1'))
     store.is_out = False
     await nodes.wait_until(lambda: not known._instance_feed.is_lost)
     assert 'e1' in known.directory.by_id
@@ -157,9 +157,9 @@
   """
 
   async def leave():
-    async with follow(grace=discovery.LAPSE_SECONDS) as (known, store):
+    async with follow(grace=discovery.EXPIRY_GRACE_SECONDS) as (known, store):
       store.is_out = True
-      store.wake_followers()
+      store.notify_followers()
       await nodes.wait_until(lambda: known._instance_feed.is_lost)
       store.is_out = False
       await nodes.wait_until(lambda: not known._instance_feed.is_lost)
@@ -175,8 +175,8 @@
 async def test_an_older_routing_table_is_never_applied():
   async with follow() as (known, _):
     newer = msgspec.json.encode({**nodes.CONFIG, 'version': 9, 'routes': []})
-    known.take_table(newer)
-    known.take_table(msgspec.json.encode(nodes.CONFIG))
+    known.apply_table(newer)
+    known.apply_table(msgspec.json.encode(nodes.CONFIG))
     assert known.version == 9
     assert known.table.match('h', '/chat/x') is None
 
@@ -185,7 +185,7 @@
   async with follow() as (known, store):
     store.history_from = store.version + 10
     store.row_by_key.pop(server_key('e1'))
-    store.wake_followers()
+    store.notify_followers()
     await nodes.wait_until(lambda: 'e1' not in known.directory.by_id)
 
 
@@ -236,7 +236,7 @@
   store = await make_rows()
   known = make_catalogue(store, grace=0.4)
   known._started_at = time.monotonic()
-  waiting = asyncio.ensure_future(known.wait_known())
+  waiting = asyncio.ensure_future(known.wait_until_known())
   for item in sorted(known.feeds, key=lambda item: item.table == last):
     assert not waiting.done()
     await item.read()
--- a/tests/test_claim_machine.py
+++ b/tests/test_claim_machine.py
@@ -153,9 +153,9 @@
         continue
       for other in pairs.DAEMONS:
         if other != name and self.is_running(other):
-          self.note_claim(other, owner.version)
+          self.record_claim(other, owner.version)
 
-  def note_claim(self, name, claim):
+  def record_claim(self, name, claim):
     replica = self.replicas.get(name)
     if replica is not None and supersedes(claim, replica.version):
       del self.replicas[name]
@@ -226,7 +226,7 @@
       self.in_flight[index] if is_duplicated else self.in_flight.pop(index)
     )
     replica = self.replicas.get(message.to)
-    verdict = slots.Verdict.STALE
+    verdict = slots.AckStatus.STALE
     if replica is not None:
       verdict = replica.receive(message.append, answers=pairs.ANSWERS)
     self.acks.append((message, verdict))
@@ -273,7 +273,7 @@
 class KeepingMachine(ClaimMachine):
   """Keeps copies that are older than a claim."""
 
-  def note_claim(self, name, claim):
+  def record_claim(self, name, claim):
     holding = self.owners.get(name)
     if holding is not None and supersedes(claim, holding.version):
       del self.owners[name]
--- a/tests/test_datagram_calls.py
+++ b/tests/test_datagram_calls.py
@@ -15,7 +15,7 @@
 from woadrun.process import peer_messages
 
 CODEC = msgspec.msgpack
-ASK = turn_messages.AskStored(requests=('a',))
+ASK = turn_messages.StoredTurnsQuery(requests=('a',))
 
 
 class Links(peers.Peers):
@@ -40,7 +40,7 @@
     self.handled = 0
     self._answer = answer
     handler = peer_messages.make_handler(
-      turn_messages.AskStored, self._handle, codec=CODEC
+      turn_messages.StoredTurnsQuery, self._handle, codec=CODEC
     )
     self.calls = datagram_calls.DatagramCalls(
       address=self.address,
@@ -139,7 +139,9 @@
     return turn_messages.StoredTurns(stored=large)
 
   async with pair(answer) as (asker, answerer):
-    message = ASK if is_answer else turn_messages.AskStored(requests=large)
+    message = (
+      ASK if is_answer else turn_messages.StoredTurnsQuery(requests=large)
+    )
     found = await asker.ask(answerer, message=message)
     assert found.stored == ('over http',)
     assert answerer.handled == int(is_answer)
@@ -165,7 +167,7 @@
   async with pair(answer) as (asker, answerer):
     with pytest.raises(errors.WoadrunError) as caught:
       await asker.ask(answerer)
-    assert caught.value.ran is errors.Ran.UNKNOWN
+    assert caught.value.ran is errors.RunStatus.UNKNOWN
     assert 'Handler of a peer message failed' in caplog.text
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,9 +10,9 @@
 
 from woadrun import errors
 from woadrun.decisions import admission
-from woadrun.decisions import pace
 from woadrun.decisions import queue
 from woadrun.decisions import routing
+from woadrun.decisions import write_rate
 from woadrun.model import policies
 from woadrun.model import simulation
 from woadrun.model import workload
@@ -163,7 +163,7 @@
   least=strategies.floats(0.05, 60),
 )
 def test_all_writers_together_stay_within_the_rate(writers, budget, least):
-  interval = pace.get_interval(least, writers, budget)
+  interval = write_rate.get_interval(least, writers, budget)
   assert writers / interval <= budget * (1 + 1e-9)
   assert interval >= least
 
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -55,7 +55,7 @@
   now=st.floats(0, 1e6), seconds=st.sampled_from([0.25, 0.5, 1.0])
 )
 def test_a_sleep_ends_on_a_tick_near_the_requested_time(now, seconds):
-  rest = ticks.get_rest(seconds, now=now)
+  rest = ticks.get_tick_delay(seconds, now=now)
   assert seconds / 2 <= rest <= seconds * 1.5
-  ticks_passed = (now + rest - ticks._PHASE) / seconds
+  ticks_passed = (now + rest - ticks._OFFSET_SECONDS) / seconds
   assert math.isclose(ticks_passed, round(ticks_passed), abs_tol=1e-6)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 import pytest
 
 from woadrun.process import catalogue
-from woadrun.process import rate_keeper
+from woadrun.process import rate_owner
 from woadrun.process import reservations
 from woadrun.request import rates
 from woadrun.version import teams
@@ -214,8 +214,8 @@
   async def answer_here(self, member, ask):
     return await self._local.answer(ask)
 
-  monkeypatch.setattr(rates.Rates, '_ask_at', answer_here)
+  monkeypatch.setattr(rates.RateLimitClient, '_ask_member', answer_here)
   monkeypatch.setattr(
-    rate_keeper.RateKeeper, '_get_share', lambda self, team: 1.0
+    rate_owner.RateOwner, '_get_share', lambda self, team: 1.0
   )
   assert find_violation(('limit',), seeds=20) == 'rate'
--- a/tests/test_feed_sync.py
+++ b/tests/test_feed_sync.py
@@ -45,7 +45,9 @@
   """Waits until the domain has the intended number of leaders."""
   await nodes.wait_until(
     lambda: (
-      sum(item.feeds.leads('servers') for item in fleet.by_name.values())
+      sum(
+        item.feeds.should_follow('servers') for item in fleet.by_name.values()
+      )
       == feed_sync.LEADERS_PER_DOMAIN
     )
   )
@@ -76,7 +78,7 @@
     leaders = [
       name
       for name, item in fleet.by_name.items()
-      if item.feeds.leads('servers')
+      if item.feeds.should_follow('servers')
     ]
     for name in leaders:
       await fleet.stop(name)
@@ -94,7 +96,7 @@
     leaders = [
       name
       for name, item in fleet.by_name.items()
-      if item.feeds.leads('servers')
+      if item.feeds.should_follow('servers')
     ]
     for name in leaders:
       fleet.view_by_name[name].is_cut = True
@@ -124,7 +126,7 @@
   for name, item in fleet.by_name.items():
     for each in item.feeds._feed_by_table.values():
       each.on_change = lambda _name=name: found.append(_name)
-    item.fleet.send_beats = lambda _name=name: found.append(_name)
+    item.fleet.send_heartbeats = lambda _name=name: found.append(_name)
   return found
 
 
@@ -134,7 +136,9 @@
     await wait_for_leaders(fleet)
     await fleet.shared.change(writes=[(key('e3'), ENTRY)])
     await nodes.wait_until(lambda: len(find_knowing(fleet, 'e3')) == len(NAMES))
-    leaders = {n for n, d in fleet.by_name.items() if d.feeds.leads('servers')}
+    leaders = {
+      n for n, d in fleet.by_name.items() if d.feeds.should_follow('servers')
+    }
     source = fleet.by_name[min(leaders)]
     other = fleet.by_name[min(set(NAMES) - leaders)]
     found = record_announcements(fleet)
@@ -150,7 +154,9 @@
   async with nodes.Nodes() as fleet:
     await fleet.start(*NAMES)
     await wait_for_leaders(fleet)
-    leaders = {n for n, d in fleet.by_name.items() if d.feeds.leads('servers')}
+    leaders = {
+      n for n, d in fleet.by_name.items() if d.feeds.should_follow('servers')
+    }
     source = fleet.by_name[min(leaders)]
     hub = fleet.by_name[min(set(NAMES) - leaders)]
     found = record_announcements(fleet)
@@ -184,9 +190,9 @@
   """The store discarded its history, so that followers read the whole table."""
   listed = []
   known = make_feed(listed)
-  assert known.take_changes(make_list(10, a=1, b=2, c=3))
+  assert known.apply_changes(make_list(10, a=1, b=2, c=3))
   assert known.find_changes(5).is_list
-  assert known.take_changes(make_list(15, a=1, c=12, d=14))
+  assert known.apply_changes(make_list(15, a=1, c=12, d=14))
   assert len(listed) == 2
   changes = known.find_changes(10)
   assert not changes.is_list
@@ -198,8 +204,8 @@
   assert known.changed == 15
   # A daemon that missed the second list gets the same rows.
   other = make_feed([])
-  other.take_changes(make_list(10, a=1, b=2, c=3))
-  other.take_changes(changes)
+  other.apply_changes(make_list(10, a=1, b=2, c=3))
+  other.apply_changes(changes)
   assert set(other.find_changes(None).rows) == set(
     known.find_changes(None).rows
   )
@@ -207,17 +213,17 @@
 
 def test_a_list_without_changes_triggers_no_fetches():
   known = make_feed([])
-  known.take_changes(make_list(10, a=1, b=2))
-  assert not known.take_changes(make_list(20, a=1, b=2))
+  known.apply_changes(make_list(10, a=1, b=2))
+  assert not known.apply_changes(make_list(20, a=1, b=2))
   assert (known.version, known.changed) == (20, 10)
   assert known.find_changes(10).rows == ()
 
 
 def test_a_row_missing_from_one_list_is_restored_by_the_next():
   known = make_feed([])
-  known.take_changes(make_list(10, a=1, b=2))
-  known.take_changes(make_list(20, a=1))
-  known.take_changes(make_list(30, a=1, b=25))
+  known.apply_changes(make_list(10, a=1, b=2))
+  known.apply_changes(make_list(20, a=1))
+  known.apply_changes(make_list(30, a=1, b=25))
   changes = known.find_changes(10)
   assert [(row.key.name, row.is_removed) for row in changes.rows] == [
     ('b', False)
@@ -279,9 +285,9 @@
     await nodes.wait_until(
       lambda: all(n.catalogue.version == 9 for n in fleet.by_name.values())
     )
-    written = operator.seal(msgspec.json.encode(config))
+    written = operator.hash_api_keys(msgspec.json.encode(config))
     for item in fleet.by_name.values():
-      copy = await item.feeds.answer(turn_messages.AskFeed(table='op'))
+      copy = await item.feeds.answer(turn_messages.FeedQuery(table='op'))
       assert len(msgspec.msgpack.encode(copy)) < len(written) / 5
       (row,) = (store_access.get_row(found) for found in copy.rows)
       assert packing.unpack(row).value == written
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -10,7 +10,7 @@
 
 from woadrun import errors
 from woadrun.connection import messages
-from woadrun.decisions import pace
+from woadrun.decisions import write_rate
 from woadrun.process import groups
 from woadrun.process import slots
 from woadrun.process import storage
@@ -27,10 +27,10 @@
 def test_write_interval_respects_the_longest_interval_and_the_write_rate(
   members, domains, budget
 ):
-  writers = pace.get_writers(members, domains, budget) * domains
-  interval = pace.get_interval(0.2, writers, budget)
+  writers = write_rate.get_writers(members, domains, budget) * domains
+  interval = write_rate.get_interval(0.2, writers, budget)
   assert 1 <= writers <= members * domains
-  assert interval <= pace.LONGEST_SECONDS
+  assert interval <= write_rate.MAX_INTERVAL_SECONDS
   assert writers / interval <= budget * (1 + 1e-9)
 
 
@@ -113,7 +113,7 @@
   for address in addresses:
     data = local.make_settings(outside, address=address)
     data['platform']['writes_per_second'] = writes_per_second
-    links.part_by_address[address] = groups.Groups(
+    links.part_by_address[address] = groups.RecordGroups(
       config=local.check(data),
       store=store,
       members=Members(address, addresses),
@@ -190,24 +190,26 @@
   )
   for sequence, written in ((1, 0), (2, 0), (3, 1)):
     append = make_append(5, sequence=sequence, written=written)
-    assert replica.receive(append, answers=1) is slots.Verdict.OK
+    assert replica.receive(append, answers=1) is slots.AckStatus.OK
   assert [append.sequence for append in replica.tail] == [2, 3]
   store, links = make_domain(1, writes_per_second=200)
   [writer] = links.part_by_address.values()
-  slot_store = storage.Storage(
+  slot_store = storage.SlotStorage(
     config=writer._config, store=store, writer=writer
   )
   slot_store.begin(5, replica.tail)
-  assert slot_store.get_unwritten(5) == list(
+  assert slot_store.get_unwritten_batches(5) == list(
     replica.tail
-  ) and not slot_store.get_unwritten(4)
+  ) and not slot_store.get_unwritten_batches(4)
   assert await slot_store.flush()
   assert read_slots(store) == [5, 5]
-  assert slot_store.get_written(5) == 3 and not slot_store.get_unwritten(5)
+  assert slot_store.get_written_sequence(
+    5
+  ) == 3 and not slot_store.get_unwritten_batches(5)
   # A slot taken over again starts with nothing counted as written: a diverged
   # history of it may have been written before.
   slot_store.begin(5, [])
-  assert slot_store.get_written(5) == 0
+  assert slot_store.get_written_sequence(5) == 0
 
 
 @pytest.mark.parametrize('is_writer', [True, False])
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,7 +7,7 @@
 import pytest
 
 from woadrun import errors
-from woadrun.process import beats
+from woadrun.process import fleet_heartbeats
 from woadrun.process import health
 from woadrun.process import loads
 from woadrun.request import exchange
@@ -26,11 +26,11 @@
 
 
 def test_failures_decay_and_expire(clock):
-  tracker = health.Health()
-  tracker.note_failure('a')
+  tracker = health.FailureTracker()
+  tracker.record_failure('a')
   assert tracker.get_all() == {}
   clock.now += health.FAILURE_HALF_LIFE_SECONDS
-  tracker.note_failure('a')
+  tracker.record_failure('a')
   assert tracker.get_all() == {'a': 0.5}
   clock.now += health.FAILURE_HALF_LIFE_SECONDS
   assert tracker.get_all() == {}
@@ -40,48 +40,48 @@
 
 
 def test_the_failures_of_an_instance_are_capped(clock):
-  tracker = health.Health()
+  tracker = health.FailureTracker()
   for _ in range(50):
-    tracker.note_failure('a')
+    tracker.record_failure('a')
   tracker.take('peer', {'a': health.MAX_FAILURES})
   most = health.MAX_FAILURES - health.TOLERATED_FAILURES
   assert tracker.get_all() == {'a': most}
 
 
 def test_an_overdue_request_counts_as_failed_before_it_ends(clock):
-  tracker = health.Health()
-  tracker.note_sent('r', 'a', 'tools')
+  tracker = health.FailureTracker()
+  tracker.record_request('r', 'a', 'tools')
   clock.now += health.MIN_OVERDUE_SECONDS
   assert tracker.get_all() == {}
   clock.now += 0.1
   assert tracker.get_all() == {'a': 0.5}
   # The caller cancels the request; the failure still counts.
-  tracker.note_end('r')
+  tracker.record_end('r')
   assert tracker.get_all() == {'a': 0.5}
 
 
 def test_slow_responses_raise_the_timeout_of_their_service_for_a_while(clock):
-  tracker = health.Health()
-  tracker.note_sent('slow', 'a', 'tools')
+  tracker = health.FailureTracker()
+  tracker.record_request('slow', 'a', 'tools')
   clock.now += 0.9
   tracker.note_answer('slow')
-  tracker.note_end('slow')
-  tracker.note_sent('r', 'a', 'tools')
-  tracker.note_sent('other', 'b', 'models')
+  tracker.record_end('slow')
+  tracker.record_request('r', 'a', 'tools')
+  tracker.record_request('other', 'b', 'models')
   clock.now += 1.7
   assert tracker.get_all() == {'b': 0.5}
-  tracker.note_end('other')
+  tracker.record_end('other')
   clock.now += 0.2
   assert tracker.get_all()['a'] == 0.5
-  tracker.note_end('r')
+  tracker.record_end('r')
   clock.now += 4 * health.LATENCY_HALF_LIFE_SECONDS
-  tracker.note_sent('late', 'a', 'tools')
+  tracker.record_request('late', 'a', 'tools')
   clock.now += health.MIN_OVERDUE_SECONDS + 0.1
   assert tracker.get_all() == {'a': 0.5}
 
 
 def test_reports_of_peers_add_up_and_expire(clock):
-  tracker = health.Health()
+  tracker = health.FailureTracker()
   tracker.take('one', {'a': 1.0})
   tracker.take('two', {'a': 0.5, 'b': 0.5})
   assert tracker.get_all() == {'a': 0.5}
@@ -90,10 +90,10 @@
 
 
 def test_own_failures_in_the_sum_of_a_domain_count_once(clock):
-  tracker = health.Health()
-  tracker.note_failure('a')
+  tracker = health.FailureTracker()
+  tracker.record_failure('a')
   assert tracker.tell() == {'a': 1.0}
-  tracker.take_sum({'a': 3.0}, age=0.2)
+  tracker.record_domain_report({'a': 3.0}, age=0.2)
   assert tracker.get_all() == {'a': 2.0}
 
 
@@ -101,8 +101,8 @@
   clock, caplog
 ):
   caplog.set_level('INFO', logger='woadrun.health')
-  tracker = health.Health()
-  tracker.note_failure('a', 3.0)
+  tracker = health.FailureTracker()
+  tracker.record_failure('a', 3.0)
   tracker.log_changes()
   tracker.log_changes()
   assert tracker.avoided == {'a'}
@@ -120,8 +120,8 @@
   )
 
 
-def make_beat(domain, failing):
-  return beats.Beat(
+def make_fleet_heartbeat(domain, failing):
+  return fleet_heartbeats.FleetHeartbeat(
     name='peer', address='127.0.0.1:2', domain=domain, failing=failing
   )
 
@@ -134,28 +134,28 @@
 def test_a_failing_instance_is_avoided_while_another_is_equally_fast():
   load = loads.Loads(domain='north-1')
   assert choose(load) == {'bad', 'good'}
-  load.health.note_failure('bad')
+  load.health.record_failure('bad')
   assert choose(load) == {'bad', 'good'}
-  load.health.note_failure('bad')
+  load.health.record_failure('bad')
   assert choose(load) == {'good'}
   # No instance is avoided when all fail equally.
-  load.health.note_failure('good', 2.0)
+  load.health.record_failure('good', 2.0)
   assert choose(load) == {'bad', 'good'}
 
 
 def test_only_reports_from_the_own_domain_count():
   load = loads.Loads(domain='north-1')
-  load.take_beat(make_beat('north-2', {'bad': 2.0}))
+  load.take_beat(make_fleet_heartbeat('north-2', {'bad': 2.0}))
   assert choose(load) == {'bad', 'good'}
-  load.take_beat(make_beat('north-1', {'bad': 2.0}))
+  load.take_beat(make_fleet_heartbeat('north-1', {'bad': 2.0}))
   assert choose(load) == {'good'}
 
 
 def test_a_failing_instance_is_preferred_to_one_with_a_long_queue():
   load = loads.Loads(domain='north-1')
-  load.health.note_failure('bad', 2.0)
+  load.health.record_failure('bad', 2.0)
   load.take_beat(
-    beats.Beat(
+    fleet_heartbeats.FleetHeartbeat(
       name='peer', address='127.0.0.1:2', domain='x', running={'good': 60}
     )
   )
@@ -219,16 +219,16 @@
 
 
 def test_reading_failures_does_not_change_the_last_report(clock):
-  tracker = health.Health()
-  tracker.note_failure('a', 3.0)
+  tracker = health.FailureTracker()
+  tracker.record_failure('a', 3.0)
   assert tracker.tell() == {'a': 3.0}
   # A failure after the hub computed its sum, and a read of all failures.
-  tracker.note_failure('a', 2.0)
+  tracker.record_failure('a', 2.0)
   tracker.take('peer', {'a': 1.0})
   tracker.get_all()
   tracker.take('peer', {})
   # The sum has the 3 reported failures and 2 of other daemons.
-  tracker.take_sum({'a': 5.0}, age=0.0)
+  tracker.record_domain_report({'a': 5.0}, age=0.0)
   assert tracker.get_all() == {
     'a': health.MAX_FAILURES - health.TOLERATED_FAILURES
   }
--- a/tests/test_hubs.py
+++ b/tests/test_hubs.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from woadrun.process import beats
 from woadrun.process import fleet
+from woadrun.process import fleet_heartbeats
 from woadrun.process import hubs
 
 DOMAINS = ('n', 's', 'w')
@@ -40,21 +40,21 @@
   def make(self, name, known):
     me = _make_member(name)
 
-    def make_beat():
+    def make_fleet_heartbeat():
       found = self.by_name[name]
       options = self.flags_by_name.get(name, {'has_store': True})
-      return beats.Beat(
+      return fleet_heartbeats.FleetHeartbeat(
         name=name,
         address=me.address,
         domain=me.domain,
-        silent=tuple(found.find_silent()),
+        silent=tuple(found.find_silent_domains()),
         **options,
       )
 
     made = fleet.Fleet(
       me=me,
-      make_beat=make_beat,
-      on_beat=lambda heartbeat: self.record_elsewhere(name, heartbeat),
+      make_fleet_heartbeat=make_fleet_heartbeat,
+      on_heartbeat=lambda heartbeat: self.record_elsewhere(name, heartbeat),
       on_digest=lambda digest: self.record_digest(name, digest),
     )
     for other in known:
@@ -122,7 +122,9 @@
 
 def _make_member(name):
   domain, _, number = name.partition('-')
-  return beats.Member(name=name, address=f'{domain}:{number}', domain=domain)
+  return fleet_heartbeats.Member(
+    name=name, address=f'{domain}:{number}', domain=domain
+  )
 
 
 @pytest.fixture(name='network')
@@ -197,20 +199,20 @@
   network.run(2)
   for name, found in network.by_name.items():
     expected = ['n', 's'] if name.startswith('w') else ['w']
-    assert found.find_silent() == expected
+    assert found.find_silent_domains() == expected
     assert not found.is_isolated and not found.is_settled
-    assert found.get_silence() >= hubs.DIGEST_TTL_SECONDS
+    assert found.get_domain_silence_seconds() >= hubs.DIGEST_TTL_SECONDS
   network.flags_by_name['w-3'] = {'has_store': True, 'is_owing': True}
   network.run(2)
   network.cut_domain = None
   network.run(1)
   for name, found in network.by_name.items():
-    assert found.find_silent() == []
+    assert found.find_silent_domains() == []
     if not name.startswith('w'):
-      assert found.find_unsettled() == {'w'}
+      assert found.find_unsettled_domains() == {'w'}
   del network.flags_by_name['w-3']
   network.run(2)
-  assert all(not f.find_unsettled() for f in network.by_name.values())
+  assert all(not f.find_unsettled_domains() for f in network.by_name.values())
   assert all(found.is_settled for found in network.by_name.values())
 
 
@@ -230,13 +232,13 @@
   others = [f for f in network.by_name.values() if f.me.domain != 'w']
   # Spending of a member while it does not hear the others is reported with its
   # next heartbeat.
-  while any(found.find_silent() for found in cut_off):
-    assert all(found.find_unsettled() for found in others)
+  while any(found.find_silent_domains() for found in cut_off):
+    assert all(found.find_unsettled_domains() for found in others)
     network.run(0.25)
-  assert all(found.find_unsettled() for found in others)
+  assert all(found.find_unsettled_domains() for found in others)
   network.loss = 0.0
   network.run(2.5)
-  assert not any(found.find_unsettled() for found in others)
+  assert not any(found.find_unsettled_domains() for found in others)
 
 
 def test_the_state_of_one_member_reaches_all_others(network):
@@ -246,10 +248,10 @@
     if name == 's-4':
       continue
     assert not found.is_settled
-    assert not found.may_have_store('s-4')
+    assert not found.may_reach_store('s-4')
     assert 's-4' not in [m.name for m in found.rank('x', 's')]
-    assert 's-4' not in [m.name for m in found.find_with_store()]
-    assert len(found.find_with_store()) == len(network.by_name) - 2
+    assert 's-4' not in [m.name for m in found.find_peers_with_store()]
+    assert len(found.find_peers_with_store()) == len(network.by_name) - 2
 
 
 def test_requests_at_instances_are_summed_over_all_domains(network):
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -159,7 +159,7 @@
   instance = instances.Instance(
     id='i-1', service='s', address='127.0.0.1:1', domain='d'
   )
-  sending = exchange.Sending(
+  sending = exchange.RequestAttempt(
     request=request, instance=instance, body=b'', seconds=1.0, urgency=3
   )
   headers = dict(wire.encode_headers(sending))
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -117,10 +117,10 @@
   directory.put(make_instance(born=1000, state='draining'))
   assert directory.find('models').all == ()
   directory.put(make_instance(born=2000))
-  assert directory.find('models').all[0].life == 'e9.2000'
+  assert directory.find('models').all[0].incarnation_id == 'e9.2000'
   directory.remove('e9')
   directory.put(make_instance(born=3000))
-  assert directory.get_lives() == {'e9.3000'}
+  assert directory.get_incarnation_ids() == {'e9.3000'}
 
 
 async def put_entry(fleet, id, entry):
@@ -136,14 +136,14 @@
     await put_entry(fleet, 'e1', {**entry, 'born': 1000})
     by_id = daemon.catalogue.directory.by_id
     await nodes.wait_until(lambda: by_id['e1'].born == 1000)
-    before = by_id['e1'].life
+    before = by_id['e1'].incarnation_id
     for _ in range(5):
-      daemon.loads.health.note_failure(before)
-    daemon.loads.note_unreachable(before)
+      daemon.loads.health.record_failure(before)
+    daemon.loads.record_unreachable(before)
     assert before in daemon.loads.health.get_all()
     await put_entry(fleet, 'e1', {**entry, 'born': 2000})
     await nodes.wait_until(lambda: by_id['e1'].born == 2000)
-    assert by_id['e1'].life not in daemon.loads.health.get_all()
+    assert by_id['e1'].incarnation_id not in daemon.loads.health.get_all()
     chosen = daemon.loads.choose(
       instances.Group([by_id['e1']]), tried=(before,)
     )
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -137,7 +137,7 @@
   """
   first, second = make_views(2)
   first.reserve('r', 10)
-  first.withdraw('r')
+  first.cancel_reservation('r')
   second.reserve('r', 10)
   second.merge(copy.deepcopy(first))
   first.merge(copy.deepcopy(second))
@@ -151,7 +151,7 @@
   shared = Shared()
   first, second = make_views(2)
   first.reserve('r', 10)
-  first.withdraw('r')
+  first.cancel_reservation('r')
   second.reserve('r', 10)
   assert shared.save(second)
   first.reserve('s', 10)
@@ -167,7 +167,7 @@
 def test_owner_may_grant_a_turn_that_it_refused_before():
   [owner] = make_views(1)
   owner.reserve('r', 10)
-  owner.withdraw('r')
+  owner.cancel_reservation('r')
   assert owner.spent == 0
   owner.reserve('r', 10)
   owner.settle('r', 6)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -315,7 +315,7 @@
     assert len({name.split('.')[1] for name in names}) > 1
     error = await fleets.get_refusal(caller.start('riders', 500))
     assert error.code == 'storage_full' and error.retry_after
-    assert error.ran is errors.Ran.NOT_RUN
+    assert error.ran is errors.RunStatus.NOT_RUN
     # Sub-agents of an existing program are still admitted.
     assert await caller.start('riders', 100, parent=names[0])
 
@@ -377,7 +377,7 @@
   request = messages.Borrow(holder='x', row='riders', in_use=0, is_more=True)
   error = await fleets.get_refusal(keeper.lend(request))
   assert error.code == 'config_unavailable' and error.retry_after
-  assert error.ran is errors.Ran.NOT_RUN
+  assert error.ran is errors.RunStatus.NOT_RUN
 
 
 class Keepers:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -53,7 +53,7 @@
   # Worst case: a daemon that joined first owns all slots.
   known = make_roster(members, [chance.choice(members[:2])] * slots)
   for _ in range(2 * size.bit_length() + 2):
-    plans = [roster.plan_give_away(known, m, unfit=set()) for m in members]
+    plans = [roster.plan_rebalance(known, m, unfit=set()) for m in members]
     receivers = [target for numbers, target in plans if numbers]
     assert len(receivers) == len(set(receivers))
     for numbers, target in plans:
@@ -71,10 +71,10 @@
   def begin(self, slot, tail):
     pass
 
-  def get_written(self, slot):
+  def get_written_sequence(self, slot):
     return 0
 
-  def get_unwritten(self, slot):
+  def get_unwritten_batches(self, slot):
     return []
 
 
@@ -104,7 +104,7 @@
   return found, clock
 
 
-def make_beat(sender, **values):
+def make_heartbeat(sender, **values):
   return messages.Heartbeat(
     sender=sender,
     domain='north',
@@ -122,7 +122,7 @@
   for _ in range(30):
     clock.now += 1.0
     for member in found._heartbeat_targets:
-      found.note_heartbeat(make_beat(member))
+      found.record_heartbeat(make_heartbeat(member))
   assert not found.get_silent()
   # A change of pairs adds a partner that this daemon has not heard from before.
   far = [members[0], members[12], *members]
@@ -154,7 +154,7 @@
   found.adopt(make_roster(members, members))
   suspect = next(m for m in members[1:] if m not in found._heartbeat_targets)
   reporter = found._heartbeat_targets[0]
-  found.note_heartbeat(make_beat(reporter, suspects=[suspect]))
+  found.record_heartbeat(make_heartbeat(reporter, suspects=[suspect]))
   assert suspect in found.get_silent()
   assert suspect not in found.make_heartbeat().suspects
   clock.now += membership.SUSPICION_TTL_SECONDS + 1.0
@@ -180,23 +180,23 @@
     )
 
   found.adopt(make(1, entries))
-  claim = slots.Holding(
+  claim = slots.OwnedSlot(
     number=0,
     version=roster.Version(1, 1, members[0]),
     standby='',
     state=program.SlotState(sequence=7),
     is_claimed=True,
   )
-  held.holding_by_slot[0] = claim
+  held.owned_slot_by_number[0] = claim
   other = roster.Slot(owner=members[2], standby=members[0], epoch=2, before=1)
   found.adopt(make(2, [entries[0], other]))
-  assert held.holding_by_slot == {0: claim} and claim.is_claimed
+  assert held.owned_slot_by_number == {0: claim} and claim.is_claimed
   # Only a roster change of the claimed slot ends the claim.
   mine = roster.Slot(
     owner=members[0], standby=members[2], epoch=3, before=1, owner_before=1
   )
   found.adopt(make(3, [mine, other]))
-  assert held.holding_by_slot == {0: claim} and not claim.is_claimed
+  assert held.owned_slot_by_number == {0: claim} and not claim.is_claimed
   assert claim.epoch == 3 and claim.state.sequence == 7
 
 
@@ -220,14 +220,14 @@
   found, _ = make_membership(None, members[0])
   run = make_recovery(found, None)
   found.adopt(make_roster(members, members))
-  found.note_heartbeat(make_beat(members[1]))
+  found.record_heartbeat(make_heartbeat(members[1]))
   message = messages.Handover(
     sender=members[1], incarnation='earlier', requests=[(0, 'p', 'r')]
   )
-  run.note_handover(message)
+  run.record_handover(message)
   # Another process runs at the address now, so the call is not awaited.
-  await asyncio.wait_for(run._wait_elsewhere(('p', 'r')), 10)
-  assert not run._elsewhere
+  await asyncio.wait_for(run._wait_for_previous_owner(('p', 'r')), 10)
+  assert not run._handover_by_key
 
 
 class Links:
@@ -251,8 +251,8 @@
   )
   run = make_recovery(found, links)
   found.adopt(make_roster(members, members))
-  found.note_heartbeat(make_beat(members[1]))
-  run.note_handover(
+  found.record_heartbeat(make_heartbeat(members[1]))
+  run.record_handover(
     messages.Handover(
       sender=members[1],
       incarnation='i',
@@ -261,10 +261,10 @@
   )
   running.discard(('p', 'r'))
   # The previous owner is alive but has abandoned one of the two calls.
-  await asyncio.wait_for(run._wait_elsewhere(('p', 'r')), 10)
-  assert set(run._elsewhere) == {('p', 's')}
+  await asyncio.wait_for(run._wait_for_previous_owner(('p', 'r')), 10)
+  assert set(run._handover_by_key) == {('p', 's')}
   running.clear()
-  await asyncio.wait_for(run._wait_elsewhere(('p', 's')), 10)
+  await asyncio.wait_for(run._wait_for_previous_owner(('p', 's')), 10)
 
 
 async def test_call_withdrawn_while_its_slot_is_closed_is_not_run():
@@ -280,28 +280,30 @@
   )  # fmt: skip
   state = program.SlotState()
   state.apply([started, accepted], answers=1)
-  holding = slots.Holding(
+  holding = slots.OwnedSlot(
     number=0, version=roster.Version(1), standby='', state=state
   )
-  run._held.holding_by_slot[0] = holding
-  error = slots.make_not_owner('The slot is being transferred.')
-  withdrawal = asyncio.ensure_future(run._runner._take_back(accepted, error))
+  run._held.owned_slot_by_number[0] = holding
+  error = slots.make_not_owner_error('The slot is being transferred.')
+  withdrawal = asyncio.ensure_future(
+    run._runner._record_not_run(accepted, error)
+  )
   await asyncio.sleep(0)
   # The call counts as running here until the slot is open again.
   ask = messages.Requests(requests=[('north.000.a', 'r'), ('north.000.a', 'x')])
-  assert run.find_running(ask).requests == [('north.000.a', 'r')]
+  assert run.get_running_calls(ask).requests == [('north.000.a', 'r')]
   assert list(state.get_program('north.000.a').get_running())
   holding.opened.set()
   await asyncio.wait_for(withdrawal, 10)
   assert not list(state.get_program('north.000.a').get_running())
-  assert error.ran is errors.Ran.NOT_RUN
-  assert run.find_running(ask).requests == []
+  assert error.ran is errors.RunStatus.NOT_RUN
+  assert run.get_running_calls(ask).requests == []
 
 
 async def test_permits_of_a_restarted_process_are_dropped():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
-  permits = dispatcher.Dispatcher(
+  permits = dispatcher.PermitDispatcher(
     config=found._config, members=found, links=None
   )
   found.adopt(make_roster(members, members))
@@ -309,7 +311,7 @@
   permits.upstream_by_name['e'] = upstream
   holder = directory.make_process_name(members[1], 'i')
   upstream.holder_by_permit['p'] = holder
-  permits._drop_gone()
+  permits._release_dead_holders()
   assert upstream.holder_by_permit == {'p': holder}
   known = roster.with_member(found.roster, members[1], 'later')
   found.adopt(msgspec.structs.replace(known, version=2))
@@ -328,7 +330,7 @@
   )
   found.adopt(known)
   clock.now += 5.0
-  found.note_heartbeat(make_beat(members[2]))
+  found.record_heartbeat(make_heartbeat(members[2]))
   assert found.get_silent() == {members[1]}
 
   def answer(path, message):
@@ -344,7 +346,7 @@
     members=found,
     links=Links(answer),
     held=held,
-    without_table=None,
+    outage_handler=None,
   )
   found._links = Links(answer)
   changed = []
--- a/tests/test_pair_machine.py
+++ b/tests/test_pair_machine.py
@@ -177,7 +177,7 @@
       self.in_flight[index] if is_duplicated else self.in_flight.pop(index)
     )
     replica = self.replicas.get(message.to)
-    verdict = slots.Verdict.STALE
+    verdict = slots.AckStatus.STALE
     if replica is not None:
       verdict = replica.receive(message.append, answers=ANSWERS)
     self.acks.append((message, verdict))
@@ -197,7 +197,7 @@
     owner = self.owners.get(message.sender)
     if owner is None or owner.version != message.append.version:
       return
-    if verdict is not slots.Verdict.OK:
+    if verdict is not slots.AckStatus.OK:
       return
     for record in message.append.records:
       is_action = isinstance(record, program.Accepted) and not record.repeatable
--- a/tests/test_cut_domains.py
+++ b/tests/test_partitioned_domains.py
@@ -46,8 +46,8 @@
   alone = fleet.by_name[name]
   await nodes.wait_until(
     lambda: (
-      not alone.store.is_reached
-      and (alone.fleet.find_silent() or alone.fleet.is_isolated)
+      not alone.store.is_reachable
+      and (alone.fleet.find_silent_domains() or alone.fleet.is_isolated)
     )
   )
   return alone
@@ -84,7 +84,7 @@
     await fleet.stop('n2')
     north = fleet.by_name['n1']
     await nodes.wait_until(
-      lambda: not north.store.is_reached and not north.fleet.is_alive('n2')
+      lambda: not north.store.is_reachable and not north.fleet.is_alive('n2')
     )
     await fleet.turn('n1', 'b', parent='a')
     assert fleet.get_body('b') == b'<a>a-0\na-1\n<b>'
@@ -102,7 +102,7 @@
         await fleet.turn('s1', f'r{number}', most=10, budget=106)
         done += 1
     assert caught.value.status == 503
-    assert 0 < done * 6 <= (106 - 6) * shares.get_lone_share(2)
+    assert 0 < done * 6 <= (106 - 6) * shares.get_partitioned_share(2)
 
 
 async def test_the_home_reserves_the_share_of_a_silent_domain():
@@ -112,7 +112,7 @@
     address = fleet.by_name['s1'].config.peers_address
     await fleet.stop('s1')
     north = fleet.by_name['n1']
-    await nodes.wait_until(north.fleet.find_silent)
+    await nodes.wait_until(north.fleet.find_silent_domains)
     done = 0
     with pytest.raises(errors.WoadrunError) as caught:
       for number in range(20):
@@ -123,7 +123,7 @@
     # Once the domain is back and has no unsaved spending, the whole budget may
     # be spent.
     await fleet.start_alone('s1', address=address)
-    await nodes.wait_until(lambda: not north.fleet.find_unsettled())
+    await nodes.wait_until(lambda: not north.fleet.find_unsettled_domains())
     await fleet.turn('n1', 'later', most=10, budget=106)
 
 
@@ -179,7 +179,7 @@
       daemon.fleet.is_silent = lambda domain, other=other: domain == other
       daemon.fleet.is_alive = lambda name, me=daemon: name == me.config.name
     await nodes.wait_until(
-      lambda: not south.store.is_reached and south.fleet.find_silent()
+      lambda: not south.store.is_reachable and south.fleet.find_silent_domains()
     )
     ran = [await spend_all(fleet, name, name) for name in ('n1', 's1')]
     assert min(ran) > 0
@@ -194,17 +194,19 @@
     fleet.view_by_name['s1'].is_cut = True
     south.store._find_relays = list
     for daemon in (north, south):
-      daemon.fleet.datagrams.handle(datagrams.FAR_COPY, lambda data: None)
+      daemon.fleet.datagrams.handle(
+        datagrams.REMOTE_PROGRAM_COPY, lambda data: None
+      )
       daemon._handler_by_path['program/far'] = refuse_message
     names, statuses = ('n1', 's1'), (402, 503)
     ran = [
       await spend_all(fleet, name, name, statuses=statuses) for name in names
     ]
-    assert not north.fleet.find_unsettled()
+    assert not north.fleet.find_unsettled_domains()
     for daemon, other in ((north, 'south'), (south, 'north')):
       daemon.fleet.is_silent = lambda domain, other=other: domain == other
       daemon.fleet.is_alive = lambda name, me=daemon: name == me.config.name
-    await nodes.wait_until(south.fleet.find_silent)
+    await nodes.wait_until(south.fleet.find_silent_domains)
     ran += [
       await spend_all(fleet, name, f'{name}-', statuses=statuses)
       for name in names
@@ -220,7 +222,9 @@
     # The partition begins: nothing reaches the south, and the home domain has
     # not detected it yet.
     fleet.view_by_name['s1'].is_cut = True
-    south.fleet.datagrams.handle(datagrams.FAR_COPY, lambda data: None)
+    south.fleet.datagrams.handle(
+      datagrams.REMOTE_PROGRAM_COPY, lambda data: None
+    )
     south.fleet.is_silent = lambda domain: domain == 'north'
     south.fleet.is_alive = lambda name: name == 's1'
     before = 12
@@ -229,7 +233,7 @@
     north.fleet.is_silent = lambda domain: domain == 'south'
     north.fleet.is_alive = lambda name: name == 'n1'
     await nodes.wait_until(
-      lambda: not south.store.is_reached and south.fleet.find_silent()
+      lambda: not south.store.is_reachable and south.fleet.find_silent_domains()
     )
     ran = [await spend_all(fleet, name, name) for name in ('n1', 's1')]
     assert ran[1] > 0
@@ -237,7 +241,7 @@
 
 
 def test_spending_known_to_others_stays_known_in_a_partition():
-  seen = spending.Spending()
+  seen = spending.SpendingHistory()
   assert seen.get_known(now=0.0) == 0
   seen.note(100, now=10.0)
   seen.note(300, now=11.0)
@@ -280,10 +284,10 @@
     entry = south.entry_by_program['p']
     entry.ledger.home = 'south'
     older = north._copies.make(north.entry_by_program['p'])
-    await south.intake.take_far_copy(older)
+    await south.intake.handle_remote_copy(older)
     assert south.entry_by_program['p'].ledger.home == 'north'
     mine = north.entry_by_program['p']
-    await north.intake.take_far_copy(
+    await north.intake.handle_remote_copy(
       msgspec.structs.replace(older, home='south')
     )
     assert mine.ledger.home == 'north'
@@ -319,7 +323,9 @@
     await fleet.start('n1', 's1')
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
     south.fleet.is_silent = lambda domain: domain == 'north'
-    await nodes.wait_until(lambda: north.fleet.find_unsettled() == {'south'})
+    await nodes.wait_until(
+      lambda: north.fleet.find_unsettled_domains() == {'south'}
+    )
 
 
 async def refuse_message(body):
@@ -349,7 +355,7 @@
     spent = []
     for cut in ('first', 'second'):
       await fleet.stop('n1')
-      await nodes.wait_until(south.fleet.find_silent)
+      await nodes.wait_until(south.fleet.find_silent_domains)
       spent.append(await spend_all(fleet, 's1', cut))
       north = await fleet.start_alone('n1', address=address)
       await nodes.wait_until(
@@ -357,7 +363,7 @@
           north.is_ready()
           and north.store.is_direct
           and south.fleet.is_settled
-          and not south.fleet.find_unsettled()
+          and not south.fleet.find_unsettled_domains()
         )
       )
       # The home domain finds all domains reachable again.
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -93,7 +93,7 @@
     for arguments, code, place in cases:
       error = await get_refusal(*arguments)
       assert (error.code, error.place) == (code, place), arguments
-      assert error.ran is errors.Ran.NOT_RUN
+      assert error.ran is errors.RunStatus.NOT_RUN
     assert await caller.ask('GET', f'/v1/programs/{program_id}') == before
     await caller.say(program_id, 'x', model=local.MODEL, request='first')
     error = await get_refusal(chat, body, head)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from woadrun.decisions import draws
-from woadrun.process import beats
+from woadrun.decisions import random_sampling
+from woadrun.process import fleet_heartbeats
 from woadrun.process import loads
 from woadrun.version import instances
 
@@ -101,10 +101,12 @@
       running = collections.Counter()
       for load in self.loads:
         if load._domain == domain:
-          running.update(load.tell_running())
-      digest = beats.Digest(hub='h', domain=domain, running=dict(running))
+          running.update(load.report_running())
+      digest = fleet_heartbeats.Digest(
+        hub='h', domain=domain, running=dict(running)
+      )
       for load in self.loads:
-        load.take_digest(digest)
+        load.record_domain_counts(digest)
 
 
 # The mean queueing time is limited to a tenth of the mean call duration with
@@ -126,7 +128,7 @@
     examined.append(item)
     return True
 
-  found = draws.draw(
+  found = random_sampling.draw(
     range(1000), range(10_000), is_fit=is_fit, pick=random.choice
   )
   assert len(found) == 2
@@ -134,9 +136,11 @@
 
 
 def test_the_only_eligible_upstreams_are_found_among_many():
-  found = draws.draw(
+  found = random_sampling.draw(
     range(10), range(1000), is_fit={3, 700}.__contains__, pick=random.choice
   )
   assert found == [3, 700]
-  found = draws.draw((), range(9), is_fit=lambda n: False, pick=random.choice)
+  found = random_sampling.draw(
+    (), range(9), is_fit=lambda n: False, pick=random.choice
+  )
   assert found == []
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -8,8 +8,8 @@
 import pytest
 
 from woadrun import errors
-from woadrun.connection import fresh
 from woadrun.connection import rows
+from woadrun.connection import tcp_connections
 from woadrun.platform import standin
 from woadrun.platform import store
 from woadrun.standins import rows as memory
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def serve():
-  stored = memory.MemoryRows()
+  stored = memory.MemoryRowStore()
   runner = web.AppRunner(standin.StoreServer(kept=stored).make_application())
   await runner.setup()
   port = nodes.find_port()
@@ -30,7 +30,7 @@
         session=session,
         address=f'127.0.0.1:{port}',
         timeout=2.0,
-        addresses=fresh.Addresses(),
+        addresses=tcp_connections.Addresses(),
       ),
       stored,
     )
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -13,7 +13,7 @@
 from woadrun.version import instances
 from woadrun.version import prefixes
 
-PART = turn_messages.Part
+PART = turn_messages.PromptPart
 
 
 def test_prompt_is_cached_up_to_the_first_incomplete_part():
@@ -126,7 +126,7 @@
           cached_by_id=held.find(parts, now=0.0) if knows_prefixes else None,
         )
         running.enter_context(load.count(chosen.id))
-        load.note_prompt(chosen.id, parts)
+        load.record_prompt(chosen.id, parts)
         cache.run(chosen.id, parts)
         held.note(chosen.id, parts, now=0.0)
   return cache.read
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -19,13 +19,13 @@
 
 from woadrun import errors
 from woadrun.connection import peers
-from woadrun.connection import quota_messages
+from woadrun.connection import rate_messages
 from woadrun.connection import rows
-from woadrun.decisions import program_need
+from woadrun.decisions import program_demand
 from woadrun.decisions import rate_limit
 from woadrun.platform import operator
-from woadrun.process import beats
-from woadrun.process import rate_keeper
+from woadrun.process import fleet_heartbeats
+from woadrun.process import rate_owner
 from woadrun.request import exchange
 from woadrun.request import rates
 
@@ -105,7 +105,7 @@
       self.codes.append(error.code)
 
   async def configure(self, config):
-    value = operator.seal(msgspec.json.encode(config))
+    value = operator.hash_api_keys(msgspec.json.encode(config))
     key = rows.Key('op', '', 'config')
     await self.served.store.rows.change(writes=[(key, value)])
 
@@ -191,7 +191,7 @@
     await asyncio.sleep(3.0)
     for _ in range(6):
       daemon = load.served.get_alive()[0].daemon
-      owner = rate_keeper.find_rate_owner(daemon.fleet, 'red').name
+      owner = rate_owner.find_rate_owner(daemon.fleet, 'red').name
       await load.served.kill(owner)
       await asyncio.sleep(0.6)
       await load.served.start(owner)
@@ -238,7 +238,7 @@
       except errors.WoadrunError as error:
         if error.code is errors.Code.RATE_EXCEEDED:
           assert error.status == 429
-          assert error.ran is errors.Ran.NOT_RUN
+          assert error.ran is errors.RunStatus.NOT_RUN
           assert 0.5 < error.retry_after < 2.0
           return
     raise AssertionError('no request exceeded the rate limit')
@@ -271,13 +271,13 @@
     async def refuse(member, ask):
       raise errors.WoadrunError(errors.Code.NOT_OWNER, 'Not here.')
 
-    site.daemon.serving._limits._ask_at = refuse
+    site.daemon.serving._limits._ask_member = refuse
     with pytest.raises(errors.WoadrunError) as caught:
       request = nodes.make_request('x', path=fleet.ACT, key=KEY)
       async with site.daemon.serving.answer(request):
         pass
     assert caught.value.code is errors.Code.OWNER_UNAVAILABLE
-    assert caught.value.ran is errors.Ran.NOT_RUN
+    assert caught.value.ran is errors.RunStatus.NOT_RUN
     assert caught.value.retry_after
 
   run_scenario(scenario, per_second=RATE * 0.5)
@@ -297,7 +297,7 @@
   for gap in gaps:
     now += gap
     outcome = rate_limit.take(bucket, rate=rate, burst=burst, now=now)
-    assert outcome.wait <= rate_limit.MOST_WAIT_SECONDS
+    assert outcome.wait <= rate_limit.MAX_WAIT_SECONDS
     if outcome.is_granted:
       used_at.append(now + outcome.wait)
   capacity = rate_limit.get_capacity(burst)
@@ -328,13 +328,13 @@
 
 
 def test_need_is_learned_from_ended_programs():
-  known = program_need.Programs()
+  known = program_demand.Programs()
   assert known.get_excess('chat', level=0.0, rate=1.0, slowdown=1.0) == 0
   run_program(known, 'a', at=0.0)
-  known.end_idle(3.0)
-  assert not known.need_by_kind
-  known.end_idle(4.1)
-  need = known.need_by_kind['chat']
+  known.expire_idle(3.0)
+  assert not known.demand_by_kind
+  known.expire_idle(4.1)
+  need = known.demand_by_kind['chat']
   assert (need.requests, need.seconds) == (10, 2.0)
 
 
@@ -345,9 +345,9 @@
   With a slowdown to half the speed it suffices for eight, and with ten spare
   units for one more.
   """
-  known = program_need.Programs()
+  known = program_demand.Programs()
   run_program(known, 'a', at=0.0)
-  known.end_idle(10.0)
+  known.expire_idle(10.0)
   for number in range(8):
     assert known.get_excess('chat', level=0.0, rate=20.0, slowdown=2.0) <= 0
     known.note(f'p{number}', 'chat', 10.0)
@@ -355,16 +355,16 @@
     'chat', level=0.0, rate=20.0, slowdown=2.0
   ) == pytest.approx(5.0)
   assert known.get_excess('chat', level=10.0, rate=20.0, slowdown=2.0) <= 0
-  seconds = known.estimate_return('chat', excess=5.0)
+  seconds = known.estimate_retry_after('chat', excess=5.0)
   assert seconds == pytest.approx(2.0 / 8)
 
 
 def test_learned_need_excludes_the_time_spent_waiting():
-  known = program_need.Programs()
+  known = program_demand.Programs()
   for number in range(10):
     known.note('a', 'chat', 1.0 * number, wait=0.75)
-  known.end_idle(20.0)
-  assert known.need_by_kind['chat'].seconds == pytest.approx(2.25)
+  known.expire_idle(20.0)
+  assert known.demand_by_kind['chat'].seconds == pytest.approx(2.25)
 
 
 def test_kinds_are_compared_by_requests_per_second():
@@ -372,17 +372,19 @@
 
   Kinds of programs differ in duration, so their requests a second are compared.
   """
-  known = program_need.Programs()
+  known = program_demand.Programs()
   run_program(known, 'long', at=0.0, requests=50, seconds=10.0)
-  known.need_by_kind['short'] = program_need.Need(requests=5, seconds=1.0)
-  known.end_idle(20.0)
+  known.demand_by_kind['short'] = program_demand.ProgramDemand(
+    requests=5, seconds=1.0
+  )
+  known.expire_idle(20.0)
   known.note('b', 'chat', 20.0)
   assert known.get_excess('short', level=0.0, rate=8.0, slowdown=2.0) <= 0
 
 
 def get_owner(served):
   """Returns a daemon's rate-limit owner, past its start-up delay."""
-  owner = served.by_name['n1'].rate_keeper
+  owner = served.by_name['n1'].rate_owner
   owner._started_at -= 10.0
   return owner
 
@@ -396,7 +398,7 @@
     'program': 'p',
     'kind': 'chat',
   }
-  return quota_messages.TakeUnit(**{**given, **fields})
+  return rate_messages.AcquireRate(**{**given, **fields})
 
 
 async def test_running_programs_continue_when_new_ones_are_refused():
@@ -405,7 +407,7 @@
     owner = get_owner(served)
     await owner.answer(make_ask(program='old'))
     limit = owner._limit_by_team['red']
-    limit.programs.need_by_kind['chat'] = program_need.Need(
+    limit.programs.demand_by_kind['chat'] = program_demand.ProgramDemand(
       requests=60, seconds=1.0
     )
     limit.bucket.level = 5.0
@@ -436,7 +438,7 @@
     await owner.answer(make_ask(program='old'))
     limit = owner._limit_by_team['red']
     # One program is running, and each one needs the whole rate.
-    limit.programs.need_by_kind['chat'] = program_need.Need(
+    limit.programs.demand_by_kind['chat'] = program_demand.ProgramDemand(
       requests=100, seconds=10.0
     )
     limit.bucket.level = 0.0
@@ -453,7 +455,7 @@
   async with nodes.Nodes() as served:
     await served.start('n1', 's1', 'w1')
     owners = {
-      rate_keeper.find_rate_owner(item.fleet, 'red')
+      rate_owner.find_rate_owner(item.fleet, 'red')
       for item in served.by_name.values()
     }
     assert len(owners) == 1
@@ -461,7 +463,7 @@
       if item.fleet.me in owners:
         continue
       with pytest.raises(errors.WoadrunError) as caught:
-        await item.rate_keeper.answer(make_ask())
+        await item.rate_owner.answer(make_ask())
       assert caught.value.code is errors.Code.NOT_OWNER
 
 
@@ -477,7 +479,7 @@
     await owner.answer(make_ask())
     limit = owner._limit_by_team['red']
     limit.bucket.level = 10.0
-    owner._polled_at -= rate_keeper.STALL_THRESHOLD_SECONDS
+    owner._polled_at -= rate_owner.STALL_THRESHOLD_SECONDS
     owner._poll_members(time.monotonic())
     assert limit.bucket.level <= 0.0
 
@@ -493,7 +495,7 @@
       asked.append(ask)
       return await answer(ask)
 
-    daemon.rate_keeper.answer = note
+    daemon.rate_owner.answer = note
     limits = daemon.serving._limits
     request = exchange.Request(
       id='a',
@@ -517,33 +519,33 @@
   """Fake membership of two domains, of which `north` may be unreachable."""
 
   def __init__(self):
-    self.me = beats.Member(name='s1', address='x', domain='south')
-    self.other = beats.Member(name='n1', address='y', domain='north')
+    self.me = fleet_heartbeats.Member(name='s1', address='x', domain='south')
+    self.other = fleet_heartbeats.Member(name='n1', address='y', domain='north')
     self.domains = {'north', 'south'}
     self.is_north_silent = False
 
-  def find_silent(self):
+  def find_silent_domains(self):
     return ['north'] if self.is_north_silent else []
 
   def rank(self, key, domain):
     return [self.me if domain == 'south' else self.other]
 
-  def find_staying(self):
+  def find_active_names(self):
     return ['s1'] if self.is_north_silent else ['n1', 's1']
 
 
 async def test_limit_taken_over_from_a_lost_owner_has_no_burst():
   """The previous owner may have granted the burst just before the cut."""
   members = Members()
-  owner = rate_keeper.RateKeeper(members=members, is_told=lambda: True)
+  owner = rate_owner.RateOwner(members=members, has_member_list=lambda: True)
   owner._started_at -= 100.0
   owner._changed_at -= 100.0
   team = next(
     f'team{number}'
     for number in range(100)
-    if rate_keeper.find_rate_owner(members, f'team{number}') == members.other
+    if rate_owner.find_rate_owner(members, f'team{number}') == members.other
   )
-  owner._poll_members(time.monotonic() + rate_keeper.POLL_INTERVAL_SECONDS)
+  owner._poll_members(time.monotonic() + rate_owner.POLL_INTERVAL_SECONDS)
   owner._changed_at -= 100.0
   members.is_north_silent = True
   unit = await owner.answer(make_ask(team=team))
@@ -558,7 +560,7 @@
       asked.append(address)
       if address != 'z':
         raise peers.NoAnswer(errors.Code.OWNER_UNAVAILABLE, 'Gone.')
-      return quota_messages.Unit(is_granted=True)
+      return rate_messages.RateDecision(is_granted=True)
 
   class UnreachableMembers(Members):
     """The owner and the first member of the own domain are unreachable."""
@@ -566,11 +568,13 @@
     def rank(self, key, domain):
       ranked = [('n1', 'y'), ('s2', 'w'), ('s3', 'z')]
       return [
-        beats.Member(name=name, address=address, domain=domain)
+        fleet_heartbeats.Member(name=name, address=address, domain=domain)
         for name, address in ranked
       ]
 
-  limits = rates.Rates(members=UnreachableMembers(), local=None, links=Links())
+  limits = rates.RateLimitClient(
+    members=UnreachableMembers(), local=None, links=Links()
+  )
   unit = await limits._ask_with_retries(make_ask(), time.monotonic() + 3.0)
   assert unit.is_granted
   assert asked == ['y', 'w', 'z']
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -19,19 +19,21 @@
     fleet.shared.is_out = True
     south = fleet.by_name['s1']
     south.store.is_direct = False
-    await nodes.wait_until(lambda: not south.store.is_reached)
+    await nodes.wait_until(lambda: not south.store.is_reachable)
     await fleet.stop('n1')
     # The home domain of the program and the store are both silent, and this
     # domain has no copy of the program.
     south.programs.entry_by_program.clear()
     south.programs.cache._turn_by_request.clear()
     south.programs.cache._until_by_request.clear()
-    await nodes.wait_until(lambda: south.fleet.get_silence() > 1.3)
-    before = south.fleet.get_silence()
+    await nodes.wait_until(
+      lambda: south.fleet.get_domain_silence_seconds() > 1.3
+    )
+    before = south.fleet.get_domain_silence_seconds()
     with pytest.raises(errors.WoadrunError) as caught:
       await fleet.turn('s1', 'b', parent='a')
     assert caught.value.status == 503
-    after = max(south.fleet.get_silence(), south.store.outage)
+    after = max(south.fleet.get_domain_silence_seconds(), south.store.outage)
     found = caught.value.retry_after
     assert retry_after.estimate_outage(before) <= found
     assert found <= retry_after.estimate_outage(after)
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -74,7 +74,7 @@
 
   async def revoke(self):
     """Writes the revocation to the store; returns the time of the write."""
-    value = operator.seal(msgspec.json.encode(make_config(2)))
+    value = operator.hash_api_keys(msgspec.json.encode(make_config(2)))
     key = rows.Key('op', '', 'config')
     await self.served.store.rows.change(writes=[(key, value)])
     return time.monotonic()
@@ -116,7 +116,7 @@
     assert load.get_last_sent_at('d1-0') <= revoked_at + 1.5
     sent_at, error = load.refused_by_name['d0-0'][-1]
     assert error.code is errors.Code.TABLE_TOO_OLD
-    assert error.ran is errors.Ran.NOT_RUN
+    assert error.ran is errors.RunStatus.NOT_RUN
     assert error.retry_after > 0
 
   run_scenario(scenario)
@@ -187,15 +187,15 @@
 
   async def scenario(load):
     daemon = load.served.site_by_name['d0-0'].daemon
-    beats = []
+    heartbeats = []
     receive_beat = daemon._take_beat
-    daemon._take_beat = daemon.fleet._on_beat = beats.append
+    daemon._take_beat = daemon.fleet._on_beat = heartbeats.append
     load.partition('d0', from_domains=False)
     daemon.feeds._find_source = lambda *_: None
     revoked_at = await load.revoke()
     await asyncio.sleep(6.0)
-    for beat in beats[:2]:
-      receive_beat(beat)
+    for heartbeat in heartbeats[:2]:
+      receive_beat(heartbeat)
     await asyncio.sleep(1.0)
     assert load.get_last_sent_at('d0-0') <= revoked_at + BOUND
 
@@ -234,7 +234,7 @@
   clock_estimate, age = make_age()
   now = time.monotonic()
   clock_estimate.note(50.0, began=now - 2.0, ended=now)
-  age.note_read(now - 2.0)
+  age.record_read(now - 2.0)
   assert age.get() >= 2.0
   assert age.confirmed <= 50.0
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -12,14 +12,14 @@
 import pytest
 
 from woadrun import errors
-from woadrun.connection import fresh
 from woadrun.connection import peers
+from woadrun.connection import tcp_connections
 from woadrun.connection import turn_messages
 from woadrun.platform import store
 from woadrun.platform import upstream
-from woadrun.process import beats
+from woadrun.process import fleet_heartbeats
 from woadrun.request import exchange
-from woadrun.request import turn_leave
+from woadrun.request import turn_client
 from woadrun.version import instances
 
 
@@ -68,7 +68,7 @@
   proxy = BlackholeProxy(target)
   server = await asyncio.start_server(proxy.serve, '127.0.0.1', 0)
   port = server.sockets[0].getsockname()[1]
-  connector = fresh.make_connector(limit=10, keepalive=30.0)
+  connector = tcp_connections.make_connector(limit=10, keepalive=30.0)
   async with aiohttp.ClientSession(connector=connector) as session:
     # The session keeps several connections alive.
     yield proxy, f'127.0.0.1:{port}', session
@@ -93,7 +93,7 @@
       session=session,
       key='',
       codec=msgspec.msgpack,
-      addresses=fresh.Addresses(),
+      addresses=tcp_connections.Addresses(),
     )
 
     async def post(timeout=0.4):
@@ -122,7 +122,7 @@
       session=session,
       address=address,
       timeout=0.4,
-      addresses=fresh.Addresses(),
+      addresses=tcp_connections.Addresses(),
     )
     await asyncio.gather(*(row_store.read('t', '') for _ in range(3)))
     proxy.blackhole()
@@ -137,13 +137,15 @@
     address,
     session,
   ):
-    found = upstream.HttpUpstreams(session=session, addresses=fresh.Addresses())
+    found = upstream.HttpUpstreams(
+      session=session, addresses=tcp_connections.Addresses()
+    )
     instance = instances.Instance(
       id='i', service='s', address=address, domain='d', born=1000
     )
 
     async def send():
-      sending = exchange.Sending(
+      sending = exchange.RequestAttempt(
         request=nodes.make_request('r', path='/look/'),
         instance=instance,
         body=b'',
@@ -156,7 +158,7 @@
     proxy.blackhole()
     with pytest.raises(TimeoutError):
       # The caller times out.
-      async with asyncio.timeout(upstream.SILENT_SECONDS + 0.1):
+      async with asyncio.timeout(upstream.SILENCE_THRESHOLD_SECONDS + 0.1):
         await send()
     async with asyncio.timeout(5):
       await asyncio.gather(*(send() for _ in range(3)))
@@ -173,17 +175,21 @@
         await asyncio.Event().wait()
       return turn_messages.OpenedTurn(instance='found')
 
-    def note_silence(self, address):
+    def reset_connections(self, address):
       self.silent = (*self.silent, address)
 
   links = Links()
-  owner = beats.Member(name='n2', address='127.0.0.1:7', domain='north')
+  owner = fleet_heartbeats.Member(
+    name='n2', address='127.0.0.1:7', domain='north'
+  )
   members = types.SimpleNamespace(
-    me=beats.Member(name='n1', address='127.0.0.1:6', domain='north'),
+    me=fleet_heartbeats.Member(
+      name='n1', address='127.0.0.1:6', domain='north'
+    ),
     rank=lambda program, domain: [owner],
     is_alive=lambda name: True,
   )
-  leave = turn_leave.TurnLeave(
+  leave = turn_client.TurnClient(
     members=members,
     local=None,
     links=links,
@@ -191,7 +197,7 @@
     get_outage=lambda: 0.0,
   )
   request = nodes.make_request('r', path='/chat/')
-  async with asyncio.timeout(turn_leave.POST_TIMEOUT_SECONDS - 0.5):
+  async with asyncio.timeout(turn_client.POST_TIMEOUT_SECONDS - 0.5):
     opened = await leave.open(request, exchange.TurnInfo(program='p'))
   assert opened.instance == 'found'
   assert links.silent == (owner.address,)
@@ -199,10 +205,10 @@
 
 def test_sockets_detect_dead_connections():
   info = (socket.AF_INET, socket.SOCK_STREAM, 0, '', ())
-  with fresh.make_socket(info) as made:
+  with tcp_connections.make_socket(info) as made:
     assert made.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     found = made.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-    assert found == fresh.ACKNOWLEDGED_MS
+    assert found == tcp_connections.USER_TIMEOUT_MS
 
 
 @pytest.mark.parametrize(
@@ -219,17 +225,21 @@
       )
 
   failed = []
-  owner = beats.Member(name='n2', address='127.0.0.1:7', domain='north')
+  owner = fleet_heartbeats.Member(
+    name='n2', address='127.0.0.1:7', domain='north'
+  )
   members = types.SimpleNamespace(
-    me=beats.Member(name='n1', address='127.0.0.1:6', domain='north'),
+    me=fleet_heartbeats.Member(
+      name='n1', address='127.0.0.1:6', domain='north'
+    ),
     member_by_name={'n2': owner},
     domains={'north'},
     rank=lambda program, domain: [owner],
     is_alive=lambda name: True,
     is_settled=False,
-    note_failure=failed.append,
+    record_failure=failed.append,
   )
-  leave = turn_leave.TurnLeave(
+  leave = turn_client.TurnClient(
     members=members,
     local=None,
     links=Links(),
--- a/tests/test_slot_copies.py
+++ b/tests/test_slot_copies.py
@@ -130,7 +130,7 @@
     config=found._config, members=found, links=links, store=members.Store()
   )
   found.adopt(make_roster(1, make_entry(1, standby='')))
-  assert held.holding_by_slot[0].standby == ''
+  assert held.owned_slot_by_number[0].standby == ''
   found.adopt(make_roster(2, make_entry(2, 1)))
   for _ in range(9):
     await asyncio.sleep(0)
@@ -148,13 +148,13 @@
   found, clock = members.make_membership(monkeypatch, STANDBY)
   found.adopt(known)
   clock.now += 5.0
-  found.note_heartbeat(members.make_beat(THIRD))
+  found.record_heartbeat(members.make_heartbeat(THIRD))
 
   def answer(path, message):
     if path == 'copies':
       return messages.Copies(slots=[])
     if path == 'alive':
-      return messages.Alive(
+      return messages.LivenessAnswer(
         is_heard=message.address in alive, roster_version=known.version
       )
     raise errors.WoadrunError(errors.Code.OWNER_UNAVAILABLE, 'dead')
@@ -168,7 +168,7 @@
     members=found,
     links=links,
     held=held,
-    without_table=None,
+    outage_handler=None,
   )
   changed = []
 
--- a/tests/test_store_access.py
+++ b/tests/test_store_access.py
@@ -32,7 +32,7 @@
       with pytest.raises(errors.WoadrunError) as caught:
         await asyncio.wait_for(task, 1.0)
       assert caught.value.code is errors.Code.PLATFORM_UNAVAILABLE
-      assert caught.value.ran is errors.Ran.UNKNOWN
+      assert caught.value.ran is errors.RunStatus.UNKNOWN
     assert not store.is_direct
 
 
@@ -45,7 +45,9 @@
     async def refuse(*_, _call=view.read, **options):
       calls.append(options)
       if len(calls) == 1:
-        raise http.OverRate(errors.Code.PLATFORM_UNAVAILABLE, 'over its rate')
+        raise http.RateLimited(
+          errors.Code.PLATFORM_UNAVAILABLE, 'over its rate'
+        )
       return await _call('turns', '00', **options)
 
     view.read = refuse
@@ -59,7 +61,7 @@
     store, view = fleet.by_name['n1'].store, fleet.view_by_name['n1']
 
     async def refuse(*_, **options):
-      raise http.OverRate(errors.Code.PLATFORM_UNAVAILABLE, 'over its rate')
+      raise http.RateLimited(errors.Code.PLATFORM_UNAVAILABLE, 'over its rate')
 
     view.read = refuse
     # A peer relays the call.
@@ -109,7 +111,7 @@
       timeouts == [store_access.RELAY_TIMEOUT_SECONDS] * store_access.MAX_RELAYS
     )
     # The next call is not delayed, so that turns go on without the store.
-    assert not store.is_reached
+    assert not store.is_reachable
     with pytest.raises(errors.WoadrunError):
       await store.change()
     assert len(timeouts) == store_access.MAX_RELAYS
@@ -124,9 +126,9 @@
     fleet.view_by_name['n2'].is_cut = True
     with pytest.raises(errors.WoadrunError):
       await store.change()
-    assert not store.is_reached
+    assert not store.is_reachable
     fleet.view_by_name['n2'].is_cut = False
-    await nodes.wait_until(lambda: store.is_reached)
+    await nodes.wait_until(lambda: store.is_reachable)
     await store.change()
     assert not store.is_direct
 
@@ -139,13 +141,13 @@
     await near.relay.read(message)
     view.change = view.read = hang
     writing = asyncio.ensure_future(near.store.change())
-    await nodes.wait_until(lambda: not near.store.has_answers)
+    await nodes.wait_until(lambda: not near.store.is_responsive)
     with pytest.raises(errors.WoadrunError):
       await near.relay.read(message)
     # The daemon announces that it cannot reach the store before the write times
     # out.
     await nodes.wait_until(
-      lambda: not fleet.by_name['n2'].fleet.may_have_store('n1')
+      lambda: not fleet.by_name['n2'].fleet.may_reach_store('n1')
     )
     assert near.store.is_direct and not writing.done()
     writing.cancel()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -48,5 +48,5 @@
       await asyncio.gather(
         *(fleet.turn('n1', f'a{n}', program=f'p{n}') for n in range(8))
       )
-  assert tasks['CutWatch._look_often'] <= 1
-  assert tasks['Attempts._send_once'] == 0, tasks
+  assert tasks['PartitionMonitor._poll_periodically'] <= 1
+  assert tasks['RequestSender._send_once'] == 0, tasks
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -104,7 +104,7 @@
 
 
 def test_sealed_row_contains_no_key():
-  sealed = operator.seal(msgspec.json.encode(make_config()))
+  sealed = operator.hash_api_keys(msgspec.json.encode(make_config()))
   assert RED.encode() not in sealed
   table = operator.decode(sealed)
   assert table.team_by_digest[teams.digest_key(RED)].name == 'red'
@@ -112,16 +112,16 @@
 
 @pytest.mark.parametrize('value', [b'{', b'{"tenants": 3}', b'[]', b''])
 def test_sealed_row_of_invalid_value_is_empty(value):
-  assert operator.seal(value) == b''
+  assert operator.hash_api_keys(value) == b''
 
 
 async def test_newly_added_key_is_accepted():
   """A daemon with an outdated table refreshes it before it refuses a key."""
   async with nodes.Nodes(config=make_config()) as fleet:
     await fleet.start('n1')
-    table = fleet.by_name['n1'].catalogue._tables
-    table.leads = lambda: False
-    await asyncio.sleep(feed.FIRST_WAIT_SECONDS)
+    table = fleet.by_name['n1'].catalogue._table_feed
+    table.should_follow = lambda: False
+    await asyncio.sleep(feed.RECONNECT_POLL_TIMEOUT_SECONDS)
     await fleet.configure(make_config(2, red=[RED], green=['new']))
     request = nodes.make_request('a', path='/look/', key='new')
     assert (await fleet.ask('n1', request))[0] == 200
@@ -135,7 +135,7 @@
     with pytest.raises(errors.WoadrunError) as caught:
       await fleet.ask('n1', nodes.make_request('a', path='/look/', key='new'))
     assert caught.value.status == 503
-    assert caught.value.ran is errors.Ran.NOT_RUN
+    assert caught.value.ran is errors.RunStatus.NOT_RUN
     assert fleet.engines.sent == []
 
 
@@ -148,7 +148,7 @@
     without_red = msgspec.json.encode(make_config(2, blue=[BLUE]))
 
     def choose_and_revoke(*args, **options):
-      served.catalogue.take_table(operator.seal(without_red))
+      served.catalogue.apply_table(operator.hash_api_keys(without_red))
       return choose(*args, **options)
 
     served.loads.choose = choose_and_revoke
@@ -213,7 +213,7 @@
       await test_ingress.talk(port, head)
     served = fleet.by_name['n1']
     copy = await served.feeds.answer(
-      nodes.node.turn_messages.AskFeed(table='op')
+      nodes.node.turn_messages.FeedQuery(table='op')
     )
     outputs = [served.counters.encode(), msgspec.json.encode(copy)]
     for secret in (RED, BLUE, 'wrong-key'):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,7 +10,7 @@
 from woadrun import errors
 from woadrun.connection import turn_messages
 from woadrun.request import exchange
-from woadrun.request import recent_lines
+from woadrun.request import history_cache
 
 # The tables whose rows expire.
 EXPIRING_TABLES = ('turns', 'programs')
@@ -62,7 +62,7 @@
     with pytest.raises(errors.WoadrunError) as caught:
       await fleet.turn('n1', 'b', parent='nobody')
     assert caught.value.status == 503
-    assert caught.value.ran is errors.Ran.NOT_RUN
+    assert caught.value.ran is errors.RunStatus.NOT_RUN
     assert fleet.engines.sent == []
 
 
@@ -82,7 +82,7 @@
     assert 0 < used_tokens <= 30
     for result in results:
       if isinstance(result, errors.WoadrunError):
-        assert result.ran is errors.Ran.NOT_RUN
+        assert result.ran is errors.RunStatus.NOT_RUN
 
 
 async def test_budget_exceeded_is_reported_after_loss_of_all_daemons():
@@ -163,7 +163,7 @@
     try:
       await fleet.turn(name, f'{prefix}{number}', most=10, budget=86)
     except errors.WoadrunError as error:
-      assert error.ran is errors.Ran.NOT_RUN
+      assert error.ran is errors.RunStatus.NOT_RUN
       return number
   raise AssertionError('No turn was refused within 20 turns.')
 
@@ -185,7 +185,9 @@
     await fleet.turn('n1', 'b', most=10, budget=86)
     await fleet.stop('s1')
     north = [fleet.by_name['n1'], fleet.by_name['n2']]
-    await nodes.wait_until(lambda: all(n.fleet.find_silent() for n in north))
+    await nodes.wait_until(
+      lambda: all(n.fleet.find_silent_domains() for n in north)
+    )
     admitted = await count_admitted_turns(fleet, 'n1', 'c')
     # Half of the budget that was left when the domain became unreachable.
     assert 0 < admitted * 6 <= (86 - 12) / 2
@@ -237,7 +239,7 @@
     fleet.view_by_name['s1'].is_cut = True
     south.store.is_direct = False
     south.fleet.member_by_name.pop('n1')
-    south.fleet.heard_by_name.clear()
+    south.fleet.last_heartbeat_by_name.clear()
     status, body = await task
     assert (status, body.count(b'data:')) == (200, 2)
     fleet.view_by_name['s1'].is_cut = False
@@ -260,7 +262,7 @@
     fleet.clear_calls()
     fleet.shared.is_out = False
     await nodes.wait_until(lambda: not any(kept))
-    stored = [name for name in fleet.get_written() if name in names]
+    stored = [name for name in fleet.get_written_sequence() if name in names]
     # Each program has the same name as its only turn.
     rows = fleet.find_calls('turns')
   assert set(stored) == set(names)
@@ -283,7 +285,7 @@
     fleet.clear_calls()
     fleet.shared.is_out = False
     await nodes.wait_until(lambda: not second.unsaved)
-    assert fleet.get_written().count('a') == 1
+    assert fleet.get_written_sequence().count('a') == 1
 
 
 async def test_unresponsive_store_delays_the_first_turn_only():
@@ -509,7 +511,7 @@
 
 
 def test_recent_lines_evict_the_oldest_above_the_size_limit():
-  lines = recent_lines.RecentLines()
+  lines = history_cache.HistoryCache()
   opened = turn_messages.OpenedTurn(history=b'x' * 300_000)
   for name in 'abcd':
     lines.note(opened, turn_messages.Turn(request=name, program='p'))
--- a/tests/test_two_owners.py
+++ b/tests/test_two_owners.py
@@ -32,14 +32,14 @@
   fleet.shared.is_out = True
   ranked = fleet.by_name['n1'].fleet.rank('p', 'north')
   found = [fleet.by_name[member.name] for member in ranked]
-  await nodes.wait_until(lambda: not any(n.store.is_reached for n in found))
+  await nodes.wait_until(lambda: not any(n.store.is_reachable for n in found))
   return found
 
 
 def mark_failed(daemon, *others):
   """Makes a daemon consider others dead for half a second."""
   for other in others:
-    daemon.fleet.note_failure(other.config.name)
+    daemon.fleet.record_failure(other.config.name)
 
 
 async def test_a_frozen_owner_learns_what_its_standby_granted():
@@ -136,14 +136,14 @@
   await fleet.stop(owner)
   left = fleet.by_name[standby]
   await nodes.wait_until(
-    lambda: not left.store.is_reached and not left.fleet.is_alive(owner)
+    lambda: not left.store.is_reachable and not left.fleet.is_alive(owner)
   )
   for number in range(40):
     await fleet.turn(standby, f'b{number}', most=10, budget=306)
   # The turns are left to the member that owns the program next.
   left.programs.flusher.flush = asyncio.Event().wait
   again = await fleet.start_alone(owner)
-  again.fleet.datagrams.handle(datagrams.BEAT, lambda data: None)
+  again.fleet.datagrams.handle(datagrams.HEARTBEAT, lambda data: None)
   fleet.shared.is_out = False
   await nodes.wait_until(
     lambda: (
@@ -223,7 +223,7 @@
     daemon = fleet.by_name[owner]
     await nodes.wait_until(lambda: daemon.store.is_slow)
     daemon.fleet.is_alive = lambda name: name == owner
-    daemon.fleet._forget_view()
+    daemon.fleet._invalidate_view()
     before = daemon.programs.entry_by_program['p'].ledger.version
     await daemon.programs.open(make_open('c', budget=306))
     entry = daemon.programs.entry_by_program['p']
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,7 +8,7 @@
 import nodes
 import pytest
 
-from woadrun.connection import fresh
+from woadrun.connection import tcp_connections
 from woadrun.platform import upstream
 from woadrun.request import exchange
 from woadrun.version import instances
@@ -26,7 +26,7 @@
   await runner.setup()
   port = nodes.find_port()
   await web.TCPSite(runner, '127.0.0.1', port).start()
-  sending = exchange.Sending(
+  sending = exchange.RequestAttempt(
     request=nodes.make_request('r', path='/chat/'),
     instance=instances.Instance(
       id='i', service='s', address=f'127.0.0.1:{port}', domain='north'
@@ -37,7 +37,7 @@
   received = []
   async with aiohttp.ClientSession() as session:
     client = upstream.HttpUpstreams(
-      session=session, addresses=fresh.Addresses()
+      session=session, addresses=tcp_connections.Addresses()
     )
     async with asyncio.timeout(5):
       async with client.send(sending) as reply:
@@ -61,14 +61,14 @@
   await runner.setup()
   port = nodes.find_port()
   await web.TCPSite(runner, '127.0.0.1', port).start()
-  connector = fresh.make_connector(limit=10, keepalive=5.0)
+  connector = tcp_connections.make_connector(limit=10, keepalive=5.0)
   async with aiohttp.ClientSession(connector=connector) as session:
     client = upstream.HttpUpstreams(
-      session=session, addresses=fresh.Addresses()
+      session=session, addresses=tcp_connections.Addresses()
     )
     for born in (1000, 1000, 2000):
       request = nodes.make_request('r', path='/chat/')
-      sending = exchange.Sending(
+      sending = exchange.RequestAttempt(
         request=dataclasses.replace(request, headers=[('Host', 'h')]),
         instance=instances.Instance(
           id='i',
