--- a/src/woadrun/decisions/routing.py
+++ b/src/woadrun/decisions/routing.py
@@ -1,7 +1,9 @@
 """Choice of an upstream for a call.
 
-A call is sent to the engine that has its program's prefix cached, unless the
-expected wait there exceeds the cost of recomputing the prefix elsewhere.
+An upstream is a server that runs calls; a model's upstream is an engine.  A
+program is a sequence of calls whose prompts share a prefix.  A call is sent to
+the engine that has its program's prefix cached, unless the expected wait there
+exceeds the cost of recomputing the prefix elsewhere.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 # risk that the cache there is unreachable during a network partition.
 REMOTE_DOMAIN_COST_SECONDS = 0.05
 # At most this many upstreams are compared for one call, besides the holder of
-# its prefix.
+# its prefix, so that the cost of a choice does not grow with their number.
 MAX_COMPARED = 16
 
 
@@ -22,14 +24,16 @@
 class Candidate:
   """The state of one upstream that the choice depends on.
 
-  `running` and `waiting` count calls, including permits that this daemon
-  acquired since the last report.  `seconds` is the current duration of calls
-  there, learned from outcomes, so it grows if the upstream is slow.  `cached`
-  is the number of tokens of the call's prompt in the upstream's cache.
-  `is_near` tells whether the upstream is in the caller's failure domain.
-  `added` is the time in seconds that each running call adds to another one, for
-  an upstream that processes its calls in one batch.  `risk` is the expected
-  time lost by failures of the upstream, in seconds.
+  `slots` is the number of calls that the upstream runs concurrently.  `running`
+  and `waiting` are the numbers of calls running and queued there, including
+  calls of this daemon that the upstream's last load report does not count yet.
+  `seconds` is the expected duration of one call there, usually learned from the
+  outcomes of earlier calls, so it grows if the upstream is slow.  `cached` is
+  the number of tokens of the call's prompt in the upstream's cache.  `is_near`
+  tells whether the upstream is in the failure domain of this daemon.  `added`
+  is the time in seconds by which each running call prolongs each other call, if
+  the upstream processes its calls in one batch, and otherwise 0.  `risk` is the
+  expected time lost by failures of the upstream, in seconds.
   """
 
   name: str
@@ -44,7 +48,10 @@
 
 
 def estimate_wait(candidate: Candidate) -> float:
-  """Returns the estimated queueing delay of a call, in seconds."""
+  """Returns the estimated queueing delay of a call, in seconds.
+
+  The delay is infinite for an upstream without slots.
+  """
   if candidate.slots <= 0:
     return math.inf
   ahead = candidate.running + candidate.waiting + 1 - candidate.slots
@@ -56,12 +63,13 @@
 def estimate_seconds(
   candidate: Candidate, *, prompt: int, prefill_rate: float
 ) -> float:
-  """Returns the estimated cost of a call, including delay to other calls.
+  """Returns the estimated cost of a call at one upstream, in seconds.
 
-  The result is in seconds.  `prompt` is in tokens, `prefill_rate` in tokens per
-  second.  An engine that batches its calls interleaves the prefill of uncached
-  tokens with their decoding, so the prefill delays each running call as much as
-  the call itself.
+  The cost is the time until the call ends, the costs of another domain and of
+  failures, and, for an engine that batches its calls, the delay of the other
+  calls: such an engine interleaves the prefill of uncached tokens with the
+  decoding of running calls, so the prefill delays each of these as much as the
+  call itself.  `prompt` is in tokens, `prefill_rate` in tokens per second.
   """
   recompute = max(0, prompt - candidate.cached) / prefill_rate
   if candidate.added:
@@ -77,7 +85,8 @@
 ) -> Candidate | None:
   """Returns the upstream with the lowest estimated cost.
 
-  Returns None if no candidate has a slot.
+  Ties go to the upstream with fewer calls, then to the lower name.  Returns
+  None if no candidate has a slot, busy or free.
   """
   usable = [c for c in candidates if c.slots > 0]
   if not usable:
@@ -95,10 +104,11 @@
 def pick(names: Sequence[str], holder: str, rotation: int) -> list[str]:
   """Returns the names of the upstreams to compare for one call.
 
-  The result includes `holder`, which has the call's prefix cached, if it is in
-  `names`.  The others are a window of `names` that advances with `rotation`,
-  which spreads calls and makes the cost of a choice independent of the number
-  of upstreams.
+  These are all names if there are at most `MAX_COMPARED`.  Otherwise they are
+  `MAX_COMPARED` consecutive names, beginning again at the first after the last,
+  and also `holder`, which has the call's prefix cached, if it is in `names`.
+  `rotation` is a counter; each increment moves on by `MAX_COMPARED` names,
+  which spreads the calls over the upstreams.
   """
   if len(names) <= MAX_COMPARED:
     return list(names)
--- a/src/woadrun/platform/store.py
+++ b/src/woadrun/platform/store.py
@@ -1,4 +1,9 @@
-"""HTTP client of the platform's metadata store."""
+"""HTTP client of the platform's metadata store.
+
+The store holds versioned rows, in tables that are divided into parts;
+`woadrun.connection.rows` defines these terms.  The structs here have the field
+names of the platform's JSON.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +32,11 @@
 
 
 class _RowKey(msgspec.Struct, kw_only=True):
-  """A row's key; `tls_key` is the platform's field for the row's name."""
+  """A row's key.
+
+  `tls_key` is what the platform calls the row's name; it has nothing to do with
+  TLS.
+  """
 
   table: str
   part: str = ''
@@ -35,7 +44,10 @@
 
 
 class _Condition(_RowKey, kw_only=True):
-  """A precondition of a transaction: the row has version `ver`."""
+  """A precondition of a transaction: the row has version `ver`.
+
+  Version 0 means that the row does not exist.
+  """
 
   ver: int
 
@@ -49,8 +61,9 @@
 class _Row(_RowKey, kw_only=True):
   """A row in a reply.
 
-  Other writers can store any value.  A value that is not valid base64 is read
-  as empty, so that it does not make the other rows unreadable.
+  Programs other than this one can store any JSON as the value.  A value that is
+  not valid base64 is read as empty, so that it does not make the other rows of
+  the reply unreadable.  `deleted` marks the tombstone of a deleted row.
   """
 
   value: Any = ''
@@ -67,7 +80,12 @@
 
 
 class _RowsReply(msgspec.Struct, kw_only=True):
-  """A reply with rows; `ver` is the latest version across all tables."""
+  """A reply with rows.
+
+  `ver` is the latest version across all tables.  `truncated` tells that more
+  rows follow.  `now_ms` is the store's monotonic clock in milliseconds, None if
+  the store does not report it.
+  """
 
   rows: list[_Row] = []
   ver: int = 0
@@ -76,7 +94,11 @@
 
 
 class Store:
-  """A client of the platform's store; implements `rows.RowStore`."""
+  """A client of the platform's store; implements `rows.RowStore`.
+
+  All methods raise `platform_unavailable` as described there.  `timeout` is
+  that of reads and transactions, in seconds; `calls` counts the requests sent.
+  """
 
   def __init__(
     self,
@@ -103,7 +125,10 @@
     removes: Sequence[rows.Key] = (),
     conditions: Sequence[tuple[rows.Key, int]] = (),
   ) -> rows.Outcome:
-    """Applies an atomic change to the rows of one part; returns its outcome."""
+    """Applies an atomic change to the rows of one part; returns its outcome.
+
+    If a condition failed, nothing is changed and the outcome is not `is_done`.
+    """
     body = _Transaction(
       expected_revision=[
         _Condition(**_encode_key(key), ver=version)
@@ -130,7 +155,10 @@
   async def read(
     self, table: str, part: str, *, first: str = '', end: str = ''
   ) -> rows.Page:
-    """Returns the rows whose names are in the range [`first`, `end`)."""
+    """Returns the rows whose names are in the range [`first`, `end`).
+
+    An empty bound is no bound.
+    """
     query = {'table': table, 'part': part}
     if first:
       query['from'] = first
@@ -145,8 +173,8 @@
   async def follow(self, table: str, *, after: int, wait: float) -> rows.Page:
     """Returns the changes after version `after`, by a long poll.
 
-    The store answers as soon as there are changes, at the latest after `wait`
-    seconds.  Raises `rows.HistoryGone` if it no longer has the changes.
+    The store answers as soon as there are changes, or with an empty page after
+    `wait` seconds.  Raises `rows.HistoryGone` if it no longer has the changes.
     """
     query = {
       'table': table,
@@ -202,6 +230,8 @@
 def _decode_value(row: _Row) -> bytes:
   try:
     value = base64.b64decode(row.value)
+    # API keys must not leave this package: in the operator's table, they are
+    # replaced by digests.
     return operator.seal(value) if row.table == operator.TABLE else value
   except (TypeError, ValueError) as error:
     log.error(
@@ -228,6 +258,8 @@
 
 
 def _decode(reply: http.Reply) -> _RowsReply:
+  # 412 is the status of a transaction with a failed precondition; its body has
+  # the current rows.
   if reply.status not in (200, 412):
     raise errors.WoadrunError(
       errors.Code.PLATFORM_UNAVAILABLE,
@@ -237,6 +269,8 @@
   try:
     return msgspec.json.decode(reply.body, type=_RowsReply)
   except msgspec.MsgspecError as error:
+    # The status says that the store processed the request, unlike above, so a
+    # transaction may have been applied.
     raise errors.WoadrunError(
       errors.Code.PLATFORM_UNAVAILABLE,
       f'The response of the store is malformed: {error}',
--- a/src/woadrun/platform/wire.py
+++ b/src/woadrun/platform/wire.py
@@ -1,4 +1,10 @@
-"""Conversion between the platform's HTTP headers and requests."""
+"""Conversion between the platform's HTTP headers and requests.
+
+A daemon receives requests from callers and forwards them to instances, the
+servers of the platform's services.  A turn is a request of a program, whose
+turns share a token budget.  A team is a group of callers with API keys of its
+own, for which the platform's word is tenant.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +18,16 @@
 from woadrun.request import exchange
 from woadrun.version import teams
 
+# In requests and responses.
 REQUEST_ID = 'Request-Id'
+# In requests.  `Deadline-Ms` is the time left, in milliseconds.
 DEADLINE = 'Deadline-Ms'
 EXPECTED_INSTANCE = 'Expect-Instance'
 PRIORITY = 'Request-Priority'
+# In instances' responses.  `Not-Executed` states that the request has not run.
 NOT_RUN = 'Not-Executed'
 SIGNATURE = 'Server-Signature'
+# In requests: the API key of a caller, and the name of its team for instances.
 AUTHORIZATION = 'Authorization'
 TEAM = 'Tenant'
 
@@ -37,8 +47,8 @@
     'expect',
   )
 )
-# Reserved request headers: only this system may set them on a request to an
-# instance, so those of callers are removed.
+# Request headers by which a daemon controls an instance.  Callers may not use
+# them, so those of callers are removed.
 _RESERVED_HEADERS = frozenset(
   (
     'deadline-ms',
@@ -52,11 +62,13 @@
     'request-priority',
   )
 )
-# Callers' headers that are not forwarded where requests need a key: an instance
-# must not see a key, and only this system may name a team.
+# Callers' headers that are not forwarded if the configuration defines teams: an
+# instance must not see a key, and only a daemon may name a team.
 _ACCESS_HEADERS = frozenset((AUTHORIZATION.lower(), TEAM.lower()))
+# The scheme of the `Authorization` header, in lower case.
 _KEY_SCHEME = 'token'
-# Statuses of a response that guarantee that the request has not run.
+# Statuses by which a response to a caller guarantees that the request has not
+# run.
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 # The deadline sent to an instance is earlier than the daemon's own by this
 # margin, so that the instance's response on whether the request has run still
@@ -75,8 +87,8 @@
 ) -> exchange.Request:
   """Returns a caller's request.
 
-  Raises `bad_request` with the header's name as its place if a header is
-  malformed or the request id is missing.
+  Raises a `WoadrunError` with code `bad_request` and the header's name as
+  `place` if the request id is missing or a header is malformed.
   """
   id = headers.get(REQUEST_ID, '')
   if not id:
@@ -107,7 +119,7 @@
 
 
 def _get_key_digest(headers: multidict.CIMultiDictProxy[str]) -> str:
-  """Returns the digest of a request's key.
+  """Returns the digest of a request's API key.
 
   Returns an empty string unless there is exactly one authorization header, with
   the platform's scheme and a key.
@@ -123,6 +135,11 @@
 def _decode_turn(
   headers: multidict.CIMultiDictProxy[str],
 ) -> exchange.TurnInfo | None:
+  """Returns what the headers state about a turn, None if it is not one.
+
+  A turn has a program and a `Token-Usage` of the form `PROMPT,MOST`, both in
+  tokens.  Raises `bad_request` if a number is malformed.
+  """
   program = headers.get('Program-Id', '')
   if not program or 'Token-Usage' not in headers:
     return None
@@ -146,10 +163,11 @@
 
 
 def _decode_parts(text: str) -> tuple[turn_messages.Part, ...]:
-  """Returns the parts of a prompt, empty if the header is malformed.
+  """Returns the parts of a prompt from a header `ID:TOKENS,ID:TOKENS,...`.
 
-  A malformed header is no error: the parts only help to choose an instance, and
-  the header is forwarded unchanged.
+  Prompts that share a part can share its cache entry.  A malformed header is no
+  error and gives no parts: they only help to choose an instance, and the header
+  is forwarded unchanged.
   """
   pairs = [item.partition(':') for item in text.split(',') if item]
   if not all(id and tokens.isdecimal() for id, _, tokens in pairs):
@@ -160,10 +178,12 @@
 def encode_headers(sending: exchange.Sending) -> list[tuple[str, str]]:
   """Returns the headers of a request to an instance."""
   headers = list(sending.request.headers)
+  # None: requests need no key.  Empty: the request belongs to no team.
   if sending.team is None:
     headers.extend(sending.request.access_headers)
   elif sending.team:
     headers.append((TEAM, sending.team))
+  # If the margin is more than half of the time left, half of it is used.
   seconds = max(sending.seconds - _DEADLINE_MARGIN_SECONDS, sending.seconds / 2)
   headers.append((DEADLINE, str(int(seconds * 1000))))
   headers.append((EXPECTED_INSTANCE, sending.instance.id))
@@ -181,14 +201,21 @@
 
 
 def has_run(status: int, headers: multidict.CIMultiDictProxy[str]) -> bool:
-  """Returns whether the instance may have run the request."""
+  """Returns whether the instance may have run the request.
+
+  It has not run if the response says so in its header or has status 421, which
+  an instance returns for a request that expects another instance.
+  """
   return NOT_RUN not in headers and status != 421
 
 
 def is_genuine(
   request_id: str, headers: multidict.CIMultiDictProxy[str]
 ) -> bool:
-  """Returns whether a response has the request's id and a signature."""
+  """Returns whether a response has the request's id and a signature.
+
+  The value of the signature is not verified.
+  """
   return headers.get(REQUEST_ID) == request_id and SIGNATURE in headers
 
 
@@ -202,6 +229,8 @@
 ) -> tuple[int, list[tuple[str, str]]]:
   """Returns the status and headers of the response for an error."""
   status = error.status
+  # After an error with a request that may have run, the response must not
+  # guarantee the opposite.
   if status in _NOT_RUN_STATUSES and error.ran is not errors.Ran.NOT_RUN:
     status = 502
   headers = [('Woadrun-Error', error.code.value)]
@@ -216,6 +245,10 @@
 def _get_forwarded(
   headers: Iterable[tuple[str, str]], connection: list[str]
 ) -> list[tuple[str, str]]:
+  """Returns the headers to forward, without those that `connection` names.
+
+  `connection` has the values of the `Connection` headers.
+  """
   named = {
     name.strip().lower() for value in connection for name in value.split(',')
   }
@@ -226,6 +259,10 @@
 def _get_number(
   headers: multidict.CIMultiDictProxy[str], name: str
 ) -> float | None:
+  """Returns a header's number, or None without the header.
+
+  Negative numbers are read as 0.  Raises `bad_request` if it is no number.
+  """
   text = headers.get(name)
   if text is None:
     return None
--- a/src/woadrun/request/serving.py
+++ b/src/woadrun/request/serving.py
@@ -1,4 +1,10 @@
-"""Handles requests: authorizes them, opens turns and relays replies."""
+"""Handles requests: authorizes them, opens turns and relays replies.
+
+A turn is a request of a program, a sequence of requests that may share a token
+budget and may continue from one another.  The program's owner, one of the
+daemons, admits a turn before it is sent (opens it) and records its end (closes
+it).  Requests that need no owner are plain: they are sent without asking one.
+"""
 
 from __future__ import annotations
 
@@ -30,11 +36,16 @@
 # A request's deadline is brought forward by this time, which its response takes
 # to get back to the caller.
 RESPONSE_MARGIN_SECONDS = 0.02
+# Retry delay for callers whose turn no owner admitted in time.
 OPEN_RETRY_AFTER_SECONDS = 0.5
 
 
 class Serving:
-  """Handles all requests of one daemon."""
+  """Handles all requests of one daemon.
+
+  `domain` is the failure domain of this daemon.  `active` is the number of
+  requests being handled.
+  """
 
   def __init__(
     self,
@@ -61,9 +72,11 @@
   async def answer(
     self, request: exchange.Request
   ) -> AsyncIterator[exchange.Answer]:
-    """Returns a context with the response; leaving it ends all work for it.
+    """Returns a context manager with the response; its exit ends the request.
 
-    Raises the error to report to the caller if there is no response.
+    The end of a turn may still be recorded in the background afterwards.
+    Entering it raises the `WoadrunError` to report to the caller if there is no
+    response.
     """
     self.active += 1
     started_at = time.monotonic()
@@ -126,8 +139,8 @@
     deadline: float,
   ) -> AsyncIterator[exchange.Answer]:
     route = grant.route
-    # Ids are scoped by team, so that other teams' programs and turns look as if
-    # they had never existed.
+    # Ids are scoped by team, so that a request that names a program or turn of
+    # another team is handled as if that did not exist.
     id = teams.scope(grant.team_name, request.id)
     turn = dataclasses.replace(
       turn,
@@ -140,6 +153,7 @@
       request=request, id=id, turn=turn, route=route, opened=opened
     )
     try:
+      # The grant of the rate limit may have expired while the turn was opened.
       await self._limits.renew(granted_at, request, grant, deadline=deadline)
       service = routes.choose_service(route, random.random())
       async with self._attempts.send(
@@ -167,6 +181,7 @@
     turn: exchange.TurnInfo,
     deadline: float,
   ) -> turn_messages.OpenedTurn:
+    """Opens a turn; raises `owner_unavailable` at the deadline."""
     remaining = exchange.get_seconds_left(deadline)
     try:
       async with asyncio.timeout(remaining):
@@ -183,12 +198,13 @@
   async def _relay_reply(
     self, running: _RunningTurn, reply: exchange.Reply
   ) -> AsyncGenerator[bytes]:
+    """Yields a reply's chunks, then closes the turn if it has a history."""
     async for chunk in reply.chunks:
       running.reader.feed(chunk)
       yield chunk
     if not 200 <= reply.status < 300 or not running.route.keeps_history:
-      # No later turn can continue from this one, so its end is reported and its
-      # budget settled in the background.
+      # No later turn can continue from this one, so `_handle_turn` closes it in
+      # the background, which settles its tokens.
       return
     # The caller may continue from the turn as soon as its response ends, so the
     # response does not end before the turn is durable.
@@ -221,6 +237,11 @@
     )
 
   def _count_tokens(self, running: _RunningTurn) -> int:
+    """Returns the number of tokens to settle for a turn, at most its maximum.
+
+    It is computed from the number of events sent to the caller.  If the routing
+    table lacks the service, a turn with any event counts with its maximum.
+    """
     if running.instance is None:
       return 0
     table = self._catalogue.table
@@ -245,8 +266,8 @@
     try:
       await self._leave.close(message, home=home)
     except errors.WoadrunError as error:
-      # The budget then counts the reserved tokens, which are more than the
-      # caller received.
+      # The budget then still counts the turn's reservation, which is at least
+      # what the caller received.
       log.warning(
         'Turn %s of %s stays reserved because its end was not recorded: %s',
         message.request,
@@ -259,7 +280,9 @@
 class _RunningTurn:
   """A turn from its admission by the program's owner to its end.
 
-  `id` and the ids in `turn` are scoped by team.
+  `id` and the ids in `turn` are scoped by team.  `opened` is the owner's
+  answer, with the history.  `instance` is the instance that replied, None until
+  then.  `is_closed` tells that the end of the turn is recorded.
   """
 
   request: exchange.Request
@@ -294,7 +317,8 @@
 ) -> dict[str, int]:
   """Returns how many tokens of a prompt each instance has cached.
 
-  A new owner knows only the instance that ran the previous turn.
+  A new owner knows only the instance that ran the previous turn, which is then
+  assumed to have the whole prompt cached.
   """
   if opened.cached_by_instance or not opened.instance:
     return opened.cached_by_instance
@@ -304,7 +328,10 @@
 def _add_output_tokens(
   parts: tuple[turn_messages.Part, ...], tokens: int
 ) -> tuple[turn_messages.Part, ...]:
-  """Returns the parts of a prompt, with the output added to the last one."""
+  """Returns the parts of a prompt, with the output added to the last one.
+
+  An instance that has run a turn has its output cached as well.
+  """
   if not parts:
     return ()
   last = turn_messages.Part(parts[-1].id, parts[-1].tokens + tokens)
@@ -314,8 +341,8 @@
 def _needs_owner(turn: exchange.TurnInfo, route: routes.Route) -> bool:
   """Returns whether the program's owner has to admit a turn.
 
-  That is so if the turn has a history or a budget shared by all its program's
-  turns.
+  That is so if its route keeps histories, or if the turn has a budget, which
+  all turns of a program share, and its route is a stream.
   """
   has_shared_budget = (
     turn.budget is not None and route.kind is routes.Kind.STREAM
@@ -324,6 +351,7 @@
 
 
 def _get_deadline(request: exchange.Request, route: routes.Route) -> float:
+  """Returns when the response must be complete, on the monotonic clock."""
   deadline = time.monotonic() + route.timeout
   if request.deadline is not None:
     deadline = min(deadline, request.deadline)
--- a/src/woadrun/request/turn_leave.py
+++ b/src/woadrun/request/turn_leave.py
@@ -1,8 +1,11 @@
 """Opens and closes turns at the owners of their programs.
 
-The owner of a program admits a turn before it runs and records its end.  It is
-a member of the program's home domain.  The members of that domain are asked in
-the order of their rank for the program, until one of them knows it.
+A program is a sequence of requests, its turns, that share a token budget.  The
+owner of a program admits a turn before it runs and records its end.  It is a
+daemon of the program's home domain, the failure domain where the program
+started.  The live members of a domain are ranked for each program: the first is
+the owner, the next its standby, which has a copy of what the owner decided.
+The members are asked in this order, until one of them can decide.
 """
 
 from __future__ import annotations
@@ -34,7 +37,7 @@
 # owner, the standby, and the member that was one of the two before the last
 # membership change.
 MAX_MEMBERS_ASKED = 3
-# Interval of the checks whether a peer that has not answered is still alive.
+# Interval of checks whether a peer that has not answered yet is still alive.
 LIVENESS_CHECK_INTERVAL_SECONDS = 0.15
 # A message without an answer is sent again on a new connection after this
 # delay, because the first connection may no longer pass any data.  Messages are
@@ -43,7 +46,8 @@
 # Timeout of a message to an owner.  It covers the longest time that an owner
 # waits for the row store, the network round trip and the owner's standby.
 POST_TIMEOUT_SECONDS = 3.0
-# Errors of one member that another member may still resolve.
+# Errors of one member after which another member may still admit the turn.
+# `UNKNOWN_PROGRAM` says that the turn to continue from was not found.
 INCONCLUSIVE_CODES = (
   errors.Code.NOT_OWNER,
   errors.Code.OWNER_UNAVAILABLE,
@@ -54,8 +58,9 @@
 class TurnLeave:
   """Client of the owners of programs, which admit turns.
 
-  `get_outage` returns for how many seconds a part of the system has been
-  unreachable.
+  `members` is the fleet, `local` the part of this daemon that acts as owner.
+  `get_outage` returns for how many seconds the row store or another domain has
+  been unreachable.
   """
 
   def __init__(
@@ -85,9 +90,17 @@
   ) -> turn_messages.OpenedTurn:
     """Reserves the tokens of a turn and returns its history, if it has one.
 
-    `id` and the ids in `turn` are scoped by team.
+    `id` and the ids in `turn` are scoped by team.  Without `keeps_history` the
+    turn is opened without its parent.  In the result, unlike in an owner's
+    answer, `home` is the domain that admitted the turn, or empty for the domain
+    of this daemon.
+
+    Raises `owner_unavailable` if no reachable member can admit the turn, and
+    other errors of the owner, such as `budget_exceeded`, unchanged.
     """
     parent = turn.parent if keeps_history else ''
+    # The history, if this daemon ran the parent recently: the owner then need
+    # not send it, and `is_brief` says so.
     known = self._recent_lines.get(parent)
     message = turn_messages.OpenTurn(
       program=turn.program,
@@ -109,6 +122,10 @@
   async def _open(
     self, message: turn_messages.OpenTurn
   ) -> turn_messages.OpenedTurn:
+    """Asks this domain, whose members admit the turn or name the home domain.
+
+    If none of them can tell, asks all other domains.
+    """
     own_domain = self._members.me.domain
     try:
       opened = await self._open_in(own_domain, message)
@@ -120,6 +137,7 @@
       return await self._open_in_other_domains(message, error)
     if not opened.home:
       return opened
+    # The turn is not admitted yet: `home` is the domain that can admit it.
     return await self._open_at_home(message, opened)
 
   async def _open_at_home(
@@ -142,9 +160,10 @@
           home=opened.home,
           cached_by_instance=granted.cached_by_instance,
         )
-      # Both domains started the program during a network partition.  An answer
-      # that only names a home domain has no history.  The row store arbitrates
-      # between the reservations of the two.
+      # Each of the two domains started the program during a network partition.
+      # The answer of the home domain, which names another one, admits nothing
+      # and has no history, so the turn is opened in this domain below.  The row
+      # store arbitrates between the reservations of the two domains.
       log.warning(
         'Program %s: domain %s names %s as its home, which names %s.',
         message.program,
@@ -174,6 +193,11 @@
   async def _open_in(
     self, domain: str, message: turn_messages.OpenTurn
   ) -> turn_messages.OpenedTurn:
+    """Asks the members of one domain one by one; returns the first answer.
+
+    Raises the first conclusive error.  Otherwise raises an inconclusive one,
+    `unknown_program` by preference.
+    """
     members = self._members.rank(message.program, domain)[:MAX_MEMBERS_ASKED]
     failure: errors.WoadrunError | None = None
     for member in members:
@@ -187,7 +211,8 @@
         ):
           # This member knows the program, so the next one must not create it.
           message = msgspec.structs.replace(message, begins=False)
-        # That a turn was not found is more specific than the other errors.
+        # `UNKNOWN_PROGRAM` (the parent was not found) is more specific than the
+        # other errors.
         if failure is None or failure.code is not errors.Code.UNKNOWN_PROGRAM:
           failure = error
     raise failure or errors.WoadrunError(
@@ -195,9 +220,9 @@
     )
 
   def _is_conclusive(self, error: errors.WoadrunError) -> bool:
-    # The row store lacks the turn, and while the fleet is settled no member has
-    # turns that the store lacks.  Asking all members for such turns cost a
-    # quarter of all reads in normal operation.
+    # The row store lacks the turn's parent, and while the fleet is settled
+    # (`Fleet.is_settled`) no member has turns that the store lacks.  Asking all
+    # members for such turns cost a quarter of all reads in normal operation.
     is_missing = error.code is errors.Code.UNKNOWN_PROGRAM
     return is_missing and self._members.is_settled
 
@@ -205,7 +230,7 @@
     self, message: turn_messages.OpenTurn, failure: errors.WoadrunError
   ) -> turn_messages.OpenedTurn:
     # Without the row store only the home domain of a program knows that it is
-    # the home domain.
+    # the home domain, so all other domains are asked at once.
     own_domain = self._members.me.domain
     others = sorted(self._members.domains - {own_domain})
     # The other domains must not create the program: a domain that had not yet
@@ -225,12 +250,14 @@
         and result.code not in INCONCLUSIVE_CODES
       ):
         raise result
+    # No member that answered knows the program, and the turn continues from no
+    # other one: this domain starts the program.
     owners = self._members.rank(message.program, own_domain)
     if owners and not message.parent and failure.code is errors.Code.NOT_OWNER:
       opened = await self._open_at(owners[0], message, is_new=True)
-      # The store may be back by now and have named another domain as the home.
-      # Such an answer reserves nothing: no domain counted the turns that ran on
-      # it.
+      # The store may be back by now, and its row may name another domain as the
+      # home.  Such an answer reserves nothing, so the home must be asked: when
+      # turns ran after such an answer alone, no domain counted their tokens.
       return (
         await self._open_at_home(message, opened) if opened.home else opened
       )
@@ -251,11 +278,15 @@
     )
 
   def _make_refusal(self, failure: errors.WoadrunError) -> errors.WoadrunError:
+    """Returns the error to raise for a turn that no member admitted.
+
+    It is `owner_unavailable` for an inconclusive error, else `failure` itself.
+    """
     if failure.code not in INCONCLUSIVE_CODES:
       return failure
     # The turn has not run, because nothing was sent to an upstream.  A missing
-    # turn is reported as unavailable rather than as unknown, because a member
-    # that does not answer may have it.
+    # parent is reported as `owner_unavailable` rather than `unknown_program`,
+    # because a member that does not answer may have it.
     return errors.WoadrunError(
       errors.Code.OWNER_UNAVAILABLE,
       f'No reachable member can admit the turn: {failure.message}',
@@ -275,7 +306,13 @@
 
     A turn is durable once it is in the row store, so that it survives the loss
     of all daemons.  Without the store, replication to two members of the home
-    domain suffices.  Raises if neither the store nor any member recorded it.
+    domain suffices: the owner answers once its standby has a copy.  If that
+    fails too, this daemon and the program's owner in this daemon's domain hold
+    the turn.  A message without `turn` only settles the tokens, in the home
+    domain: the turn is incomplete or has no history.
+
+    `home` is the domain that admitted the turn.  Raises the last error if the
+    end of the turn was recorded in none of these places.
     """
     if message.turn is None:
       await self._close_in(home, message)
@@ -324,6 +361,10 @@
   async def _close_in(
     self, domain: str, message: turn_messages.CloseTurn
   ) -> None:
+    """Reports the end of a turn to the first member of a domain that accepts.
+
+    Raises the last error if none does.
+    """
     failure: errors.WoadrunError | None = None
     for member in self._members.rank(message.program, domain)[
       :MAX_MEMBERS_ASKED
@@ -347,6 +388,11 @@
   async def _post_with_resend(
     self, member: beats.Member, path: str, message: object, type: type[T]
   ) -> T:
+    """Posts a message, a second time if it stays without an answer.
+
+    Returns the first answer to either one, or raises its error.  Raises
+    `peers.NoAnswer` if the member is no longer considered alive.
+    """
     started_at = time.monotonic()
 
     def post() -> asyncio.Task[T]:
@@ -380,9 +426,10 @@
           tasks.append(post())
     except peers.NoAnswer:
       # Only a peer that does not answer counts as failed; one that refuses is
-      # healthy.  When refusals counted as well, owners whose share of a budget
-      # was spent were avoided during a partition, until daemons considered
-      # themselves isolated and refused all requests.
+      # healthy.  When refusals counted as well, owners that refused turns,
+      # because their domain's share of a budget was spent, were avoided during
+      # a partition, until daemons considered themselves isolated and refused
+      # all requests.
       self._members.note_failure(member.name)
       raise
     finally:
--- a/src/woadrun/version/ledger.py
+++ b/src/woadrun/version/ledger.py
@@ -1,31 +1,40 @@
 """The token ledger of a program: settled tokens and reservations.
 
-The row in the store and the owner's view may diverge while the store is
-unavailable; `rebase` applies the owner's unsaved changes to a newer row.
+A program is a sequence of requests, its turns, that share a token budget.  The
+program's owner, one of the daemons, reserves the maximum output of a turn
+before the turn runs, and settles it with the tokens delivered when the turn
+ends.  The program's home is the failure domain where it started.
+
+The ledger is stored as a row.  The row and the owner's view may diverge while
+the store is unavailable; `rebase` applies the owner's unsaved changes to a
+newer row.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# Number of settled turns that a row lists by id beside its sums, to detect
-# duplicates.  A short list suffices: if two daemons both save the turns of an
-# outage, they do so within seconds of each other.
+# Maximum length of `LedgerRow.recent`, by which a daemon recognizes turns that
+# another daemon has already added to `LedgerRow.settled`.  A short list
+# suffices: if two daemons both save the turns that ended during an outage of
+# the store, they do so within seconds of each other.
 MAX_RECENT_TURNS = 64
 
 
 class LedgerRow(msgspec.Struct, kw_only=True, omit_defaults=True):
   """The stored row of a program.
 
-  `settled` and the values of `reserved`, by request, are in tokens.  `home` is
-  the failure domain that serves the program while the store is unavailable.
-  `away_most` limits the total that other domains may spend while they cannot
-  reach the home.  `recent` lists turns that were settled without having been
-  reserved in a row, newest last.  `is_split` says that the program may also
-  have started in a domain that was unreachable, or before the daemons of this
-  domain started.  `write` is the id of the last write, by which a writer
-  recognizes its own write after a lost response; `written_at` is the Unix time
-  of that write, in seconds.
+  `home` is the failure domain that serves the program while the store is
+  unavailable.  `settled` is the sum of the tokens of all settled turns;
+  `reserved` maps the request id of each running turn to its reserved tokens.
+  `away_most` is the number of spent tokens of the whole program up to which
+  other domains may reserve while they cannot reach the home, None without such
+  a limit.  `recent` lists the request ids of turns that were settled although
+  no stored row had a reservation for them, newest last.  `is_split` says that
+  the program may also have been started in a domain that was unreachable, or
+  before a restart of the daemon that started it.  `write` is the id of the last
+  write, by which a writer recognizes its own write after a lost response;
+  `written_at` is the Unix time of that write, in seconds.
   """
 
   home: str
@@ -39,13 +48,14 @@
 
 
 class Ledger:
-  """The owner's view of the budget of one program.
+  """A daemon's view of the budget of one program.
 
   `saved` is the row as it was last read or written and `version` its version,
   0 if the row does not exist.  `given` holds the tokens of settled turns that
-  the row does not include yet, `reserved` the tokens set aside for running
-  turns.  Both are keyed by request, so that two views can be merged without
-  counting a turn twice.
+  the row does not count as settled yet, `reserved` the tokens reserved for
+  running turns.  Both are keyed by request id, so that two views can be merged
+  without counting a turn twice.  `home` and `away_most` are as in the row and
+  may have changed since it was saved.
   """
 
   def __init__(self, *, saved: LedgerRow, version: int) -> None:
@@ -69,7 +79,7 @@
 
   @property
   def is_dirty(self) -> bool:
-    """Whether there are changes that are not in the saved row."""
+    """Whether settled turns, reservations or the limit are not saved yet."""
     return (
       bool(self.given)
       or self.reserved != self.saved.reserved
@@ -80,14 +90,18 @@
   def owes(self) -> bool:
     """Whether a turn is counted here but is absent from the saved row.
 
-    A turn that the row still has as reserved does not matter: the row counts
-    its maximum, so no reader of the row overspends.
+    A settled turn that the row still has as reserved does not matter: the row
+    counts the maximum output of the turn, so no reader of the row overspends.
     """
     counted = self.saved.reserved
     return any(r not in counted for r in (*self.given, *self.reserved))
 
   def knows(self, request: str) -> bool:
-    """Returns whether a turn is listed by id in this view or the saved row."""
+    """Returns whether a turn is listed by id in this view or the saved row.
+
+    The result is False for turns that were settled in the row earlier, except
+    for those in its `recent`.
+    """
     return (
       request in self.reserved
       or request in self.given
@@ -95,38 +109,52 @@
     )
 
   def can_reserve(self, tokens: int, *, most: float) -> bool:
-    """Returns whether `tokens` more keep the total within `most` tokens."""
+    """Returns whether `tokens` more keep the spent tokens within `most`.
+
+    `most` is infinite for a program without a limit.
+    """
     return self.spent + tokens <= most
 
   def reserve(self, request: str, tokens: int) -> None:
-    """Reserves tokens for a turn; repeated calls have no effect."""
+    """Reserves tokens for a turn.
+
+    Does nothing if the turn has a reservation or is settled but not saved yet.
+    """
     if request not in self.given:
       self.reserved.setdefault(request, tokens)
 
   def withdraw(self, request: str) -> None:
-    """Removes the reservation of a turn that this owner refuses.
+    """Removes the reservation of a turn that this owner refuses after all.
 
-    Unlike `settle`, this records no outcome: another owner may have reserved
-    tokens for the same turn and must keep them.
+    Unlike `settle` with 0 tokens, this does not record that the turn ended:
+    another owner may have reserved tokens for the same turn and must keep them.
+    Does nothing if the turn has no reservation.
     """
     self.reserved.pop(request, None)
 
   def settle(self, request: str, tokens: int) -> None:
-    """Replaces the reservation of a turn by the tokens that it delivered."""
+    """Replaces the reservation of a turn by the tokens that it delivered.
+
+    Does nothing if the turn has no reservation.
+    """
     if self.reserved.pop(request, None) is not None:
       self.given[request] = tokens
 
   # --- The row --------------------------------------------------------------
 
   def make_row(self, write: str, *, now: float = 0.0) -> LedgerRow:
-    """Returns the row to save in the store, for a write with id `write`."""
+    """Returns the row to save in the store, for a write with id `write`.
+
+    Remembers which settled turns the row includes, for `note_saved`.  `now` is
+    the Unix time in seconds.
+    """
     self._given_by_write[write] = frozenset(self.given)
     saved = self.saved
-    unseen = (r for r in self.given if r not in saved.reserved)
+    unreserved = (r for r in self.given if r not in saved.reserved)
     return LedgerRow(
       home=self.home,
       settled=self.settled,
-      recent=(*saved.recent, *unseen)[-MAX_RECENT_TURNS:],
+      recent=(*saved.recent, *unreserved)[-MAX_RECENT_TURNS:],
       reserved=dict(self.reserved),
       away_most=self.away_most,
       is_split=saved.is_split,
@@ -135,7 +163,12 @@
     )
 
   def note_saved(self, row: LedgerRow, version: int) -> None:
-    """Records that the store has a row made by this ledger."""
+    """Records that the store has a row that `make_row` returned.
+
+    Turns that were settled after the row was made remain in `given`.  The row
+    need not be the last one made: an earlier write may have succeeded although
+    its response was lost.
+    """
     counted = self._given_by_write.get(row.write, frozenset())
     self._given_by_write.clear()
     self.given = {r: t for r, t in self.given.items() if r not in counted}
@@ -143,7 +176,10 @@
     self.version = version
 
   def rebase(self, row: LedgerRow, version: int) -> None:
-    """Applies the changes since `saved` to a row of another writer."""
+    """Applies the changes since `saved` to a row of another writer.
+
+    Drops settled turns that the other writer has settled too.
+    """
     before = self.saved.reserved
     # Another writer has settled the turns whose reservation is gone from the
     # row, and those that the row lists as settled.
@@ -162,8 +198,8 @@
     }
     self.reserved = {**kept, **added}
     self.home = row.home
-    # A limit that was set here and not saved yet is kept.  A limit that was
-    # saved and is gone from the row has been removed by the home.
+    # If the row has no limit, one that was set here and not saved yet is kept.
+    # A limit that was saved and is gone from the row was removed by the home.
     is_unsaved = self.away_most != self.saved.away_most
     if row.away_most is not None or not is_unsaved:
       self.away_most = row.away_most
@@ -175,7 +211,8 @@
   def merge(self, other: Ledger) -> None:
     """Adds the turns that another view counts and this one does not.
 
-    A side with an older row is first rebased onto the newer one.
+    The view with the older row is first rebased onto the newer row, so the call
+    may change `other`.  A turn that `other` has settled loses its reservation.
     """
     if other.version > self.version:
       self.rebase(other.saved, other.version)
