--- a/src/woadrun/process/program_copies.py
+++ b/src/woadrun/process/program_copies.py
@@ -1,4 +1,12 @@
-"""Sends copies of programs to their standbys and to other domains."""
+"""Sends copies of programs to their standbys and to other domains.
+
+A program is a sequence of turns, its requests to models, with a common budget;
+its ledger counts the tokens of the turns.  Members are the daemons of a fleet.
+The members of a failure domain are ranked for each program: the first one owns
+the program in that domain, the next one is its standby.  A copy holds a ledger,
+and the turns that the receiver should cache.  A member answers a copy with its
+own one if it counts turns that the sender lacks or has a newer row.
+"""
 
 from __future__ import annotations
 
@@ -25,33 +33,37 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Timeout for a standby's acknowledgement of a copy, after which the next member
-# is tried, and for a member's answer to a query.
+# Timeout for a standby's answer to a copy, after which the next member is
+# tried, and for a member's answer to a query.
 COPY_TIMEOUT_SECONDS = 0.6
-# Timeout for a member of another domain that is asked to count the spending;
-# the next member is tried then.
+# Timeout for a member of another domain that is asked to count the spending,
+# after which the next member of that domain is tried.
 REPORT_TIMEOUT_SECONDS = 0.4
-# Members of each other domain that are asked in turn to count the spending.
+# Number of members of each other domain that are asked, one after another, to
+# count the spending.
 MAX_REPORT_ATTEMPTS = 2
-# Time for which a domain is not asked again after none of its members answered:
-# callers whose turns depend on that domain are refused at once meanwhile.
+# Time for which a domain is not asked again after none of its members answered.
+# Callers whose turns depend on that domain are refused at once meanwhile,
+# instead of waiting for the timeouts again.
 DOMAIN_BACKOFF_SECONDS = 0.5
-# Copies that may be sent in the background at a time; further ones are dropped,
-# since the store or the standby has what they hold.
+# Maximum number of requests with copies that run in the background at a time.
+# Further copies are dropped, since the store or the standby has what they hold.
 MAX_BACKGROUND_COPIES = 256
-# Members that are asked about a program that is new to this one: its owner and
-# standby before the last change of members.
+# Number of highest ranked members that are asked about a program that is new to
+# this one.  They include its owner and standby before the last change of
+# members.
 MAX_QUERIED_MEMBERS = 3
-# Other domains that get a copy of each turn: each copy takes processor time at
-# both ends.  In regions of five domains, a domain behind a network partition
-# can continue half of the others' programs.
+# Number of other domains that get a copy of each turn.  It is limited because
+# each copy takes processor time at both ends.  In regions of five domains, two
+# of the four other domains get each copy, so that a domain behind a network
+# partition can continue half of the others' programs.
 MAX_REMOTE_DOMAINS = 2
 
 
 class Copies:
-  """Sends programs to the next member in the order of their rank.
+  """Sends copies of the programs of this daemon, and asks others for theirs.
 
-  `unsaved` has the ids of turns that are not in the store.
+  `unsaved` has the turns that are not in the store.
   """
 
   def __init__(
@@ -70,9 +82,11 @@
   async def send(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> None:
-    """Replicates a program to its standby, unless no other member is alive.
+    """Returns once the standby, or a lower ranked member, has a copy.
 
-    Spending that the standby counts and this daemon does not is merged.
+    Turns that the receiver counts and this daemon does not are merged into the
+    entry's ledger.  Returns at once if no other member of the domain is alive,
+    and raises the last error if none of those alive answers.
     """
     message = self._make_copy(entry, turns)
     me = self._members.me
@@ -97,9 +111,9 @@
   ) -> None:
     """Sends a program to other domains after a turn, in the background.
 
-    A domain that is cut off by a network partition continues the programs that
-    it has copies of: a fifth of all turns arrive through another domain than
-    the turn before.
+    A domain that is cut off by a network partition can continue only programs
+    of which it has copies.  It needs them, because a fifth of all turns arrive
+    through another domain than the turn before.
     """
     message = self._make_copy(entry, turns)
     data = _encode_datagram(message)
@@ -112,10 +126,11 @@
         )
 
   async def report_to_domains(self, entry: program_rows.Entry) -> bool:
-    """Returns whether each other domain counts the spending of this one.
+    """Returns whether each other domain counts the spending of this domain.
 
-    Spending that a domain counts and this daemon does not is merged; that
-    domain does not count what was reported to it, so the result is false.
+    A domain that prefers its own entry of the program answers with a copy of
+    that and ignores the report.  The copy is merged into the entry's ledger,
+    and the result is False.  It is also False if a domain does not answer.
     """
     others = self._members.domains - {self._members.me.domain}
     if any(self._is_backing_off(domain) for domain in others):
@@ -130,7 +145,11 @@
     return all(answer is not None and answer.copy is None for answer in answers)
 
   def announce_in_background(self, entry: program_rows.Entry) -> None:
-    """Announces a program to its `uninformed_domains` in the background."""
+    """Announces a program to its `uninformed_domains` in the background.
+
+    These are the domains that may not know the program yet.  A domain that
+    answers is removed from them.
+    """
     if entry.uninformed_domains:
       self._start_in_background(self._announce(entry))
 
@@ -155,9 +174,10 @@
     domain: str,
     message: turn_messages.LedgerCopy,
   ) -> turn_messages.KnownProgram | None:
-    """Returns the answer of a domain's first member that answers, else None.
+    """Returns the first answer of a member of a domain, or None without one.
 
-    Spending that the answer holds and this daemon lacks is merged.
+    A copy in the answer is merged into the entry's ledger.  Without an answer
+    the domain is not asked again for a short time.
     """
     for member in self._members.rank(entry.program, domain)[
       :MAX_REPORT_ATTEMPTS
@@ -185,16 +205,19 @@
   async def fetch(
     self, program: str, *, includes_remote: bool = False
   ) -> list[turn_messages.LedgerCopy]:
-    """Returns what other members hold of a program beyond the store.
+    """Returns other members' copies of a program that the store may lack.
 
-    With `includes_remote` members of other domains are asked as well.
+    Members that do not answer or have nothing to add are left out.  With
+    `includes_remote` members of other domains are asked as well, for the last
+    copies that they got from the home domain.
     """
     me = self._members.me
     local_members = self._members.rank(program, me.domain)[:MAX_QUERIED_MEMBERS]
     queried = [(m, False) for m in local_members if m.name != me.name]
     if includes_remote:
-      # After all daemons of a domain were lost in an outage, their successors
-      # did not know the spending and granted the budget again.
+      # Needed if all daemons of a domain are lost in an outage: without these
+      # copies, their successors did not know the spending and granted the
+      # budget again.
       queried += (
         (member, True) for member in self._find_remote_members(program)
       )
@@ -212,6 +235,7 @@
   async def _fetch_from(
     self, member: beats.Member, program: str, *, is_far: bool
   ) -> turn_messages.LedgerCopy | None:
+    """Returns a member's copy, or None if it has none or does not answer."""
     try:
       known = await self._links.post(
         member.address,
@@ -237,7 +261,10 @@
   def send_in_background(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> None:
-    """Sends a copy to the standby in the background."""
+    """Sends a copy to the standby in the background.
+
+    The copy may be lost; a failure is at most logged.
+    """
     data = _encode_datagram(self._make_copy(entry, turns))
     if data is None:
       self._start_in_background(self.try_send(entry, turns))
@@ -253,7 +280,10 @@
     return len(self._members.rank(program, self._members.me.domain)) > 1
 
   def is_first(self, program: str) -> bool:
-    """Returns whether this daemon ranks first for a program."""
+    """Returns whether this daemon ranks first for a program in its domain.
+
+    It does so as well if all members of the domain are dead or leaving.
+    """
     me = self._members.me
     ranked = self._members.rank(program, me.domain)
     return not ranked or ranked[0] == me
@@ -308,6 +338,7 @@
   def _make_copy(
     self, entry: program_rows.Entry, turns: tuple[turn_messages.Turn, ...]
   ) -> turn_messages.LedgerCopy:
+    """Returns a copy of a program with the given turns for the receiver."""
     held = entry.ledger
     unsaved = tuple(t.request for t in turns if t.request in self._unsaved)
     return turn_messages.LedgerCopy(
@@ -330,9 +361,10 @@
 def _encode_datagram(copy: turn_messages.LedgerCopy) -> bytes | None:
   """Returns a copy encoded as a datagram, or None if it has to be a request.
 
-  A request takes a connection and an answer, which nothing waits for here.  A
-  copy with turns that are not in the store is sent as a request, since those
-  must not be lost; so is a copy that is too large.
+  Datagrams are preferred in the background, where nothing waits for an answer,
+  because a request takes a connection and an answer.  A copy with turns that
+  are not in the store has to be a request, since a datagram may be lost; so has
+  a copy that is too large for a datagram.
   """
   if copy.unsaved:
     return None
@@ -350,17 +382,21 @@
 
 
 def choose_domains(program: str, others: Iterable[str]) -> list[str]:
-  """Returns which other domains get copies of a program.
+  """Returns which of the domains `others` get copies of a program.
 
-  They stay the same for all turns of the program, so that each of them has its
-  whole history, and differ from program to program to spread the load.
+  These domains are the same for all turns of the program, so that each of them
+  has its whole history, and differ from program to program to spread the load.
+  They are chosen by rendezvous hashing.
   """
   ranked = sorted(others, key=lambda domain: hubs.weigh(domain, program))
   return ranked[:MAX_REMOTE_DOMAINS]
 
 
 def decode(copy: turn_messages.LedgerCopy) -> ledger.Ledger:
-  """Returns the ledger in a copy."""
+  """Returns the ledger that a copy describes.
+
+  `CopyIntake` applies the fields of the copy that are no part of a ledger.
+  """
   saved = ledger.LedgerRow(
     home=copy.home,
     settled=copy.saved_settled,
--- a/src/woadrun/process/programs.py
+++ b/src/woadrun/process/programs.py
@@ -1,12 +1,15 @@
 """Owner and standby roles of this daemon for the budgets of programs.
 
-A program has an owner in its home domain, chosen by rendezvous hashing, and the
-member ranked next is its standby.  While the store is reachable, having one
-owner is an optimization only: each reservation is a conditional write, so a
-second owner cannot overspend the budget.  While the store is unreachable, the
-owner continues without it: a decision is valid once the standby has
-acknowledged it, and the owner writes it to the store when the store is
-reachable again.
+A program is a sequence of turns, its requests to models, with a common budget
+of tokens.  Members are the daemons of a fleet.  A program has a home failure
+domain, usually that in which it started, and there an owner, chosen by
+rendezvous hashing; the member ranked next is its standby.
+
+While the store is reachable, having one owner is an optimization only: each
+reservation is a conditional write, so a second owner cannot overspend the
+budget.  While the store is unreachable, the owner continues without it: a
+decision is valid once the standby has acknowledged it, and the owner writes it
+to the store when the store is reachable again.
 """
 
 from __future__ import annotations
@@ -37,19 +40,21 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Time without a call after which a program is evicted from memory.
+# Time without a turn that begins or ends after which a program is evicted from
+# memory.
 IDLE_TIMEOUT_SECONDS = 60.0
 # Time after the start of this daemon in which programs that it served before a
-# restart may still be running: a program that the daemon does not know is new
-# only if the store says so.
+# restart may still be running.  In this time, a program that no member knows is
+# new only if the store says so; if the store cannot be read, the program counts
+# as one that may also have started elsewhere (`is_split`).
 STARTUP_WINDOW_SECONDS = 20.0
-# Time in which a network partition may go undetected: until a call to the store
-# fails and an unreachable domain counts as silent.  A program that starts in
-# this time may start on the other side of the partition too.
+# Time for which a network partition may go undetected: until a request to the
+# store fails and an unreachable domain counts as silent.  A program that starts
+# in this time may start on the other side of the partition too.
 PARTITION_DETECTION_SECONDS = 2.5
 MAX_PARALLEL_HANDOVERS = 16
-# Programs with a call within this time are handed over at a planned stop.
-# Pauses between the calls of a running program are shorter.
+# Programs with a turn that began or ended within this time are handed over at a
+# planned stop.  Pauses between the turns of a running program are shorter.
 ACTIVE_WINDOW_SECONDS = 15.0
 
 
@@ -116,9 +121,14 @@
   ) -> turn_messages.OpenedTurn:
     """Returns the history of a turn once its tokens are reserved.
 
+    If another domain is the program's home and `ask.is_away` is not set,
+    reserves nothing and returns the name of that domain, with the history if it
+    is cached.  A brief `ask` gets no history.  With `is_new` a program that no
+    member knows is created even if the store cannot be read.
+
     Raises `budget_exceeded` if the turn does not fit the budget, `not_owner` if
     this daemon cannot decide, `unknown_program` if the turn to continue from is
-    not found.
+    not found, and the other errors of `Reservations.reserve`.
     """
     entry = await self._get_entry(ask, is_new=is_new)
     home = entry.ledger.home
@@ -135,30 +145,30 @@
         ask.parent, cache=self.cache, store=self._turns
       )
     # A program without a row may be starting in another domain at the same
-    # time: with reservations written in the background, both domains spent the
-    # whole budget.
+    # time.  Its reservation must be in the store first: when it was written in
+    # the background, both domains spent the whole budget.
     has_row = entry.ledger.version > 0
-    # Without a standby, only the store can show that another member acts for
-    # the program, however slow the store is: two members that each considered
-    # the other dead spent the same budget.
+    # Without a standby, only the store can show that another member decides for
+    # the program, however slow the store is.  Otherwise, two members that each
+    # considered the other one dead spent the same budget.
     has_standby = self._copies.has_standby(ask.program)
     is_slow = self._store.is_slow and has_standby
     if is_slow and not ask.is_away and has_row:
-      # The standby acknowledges a hundred times sooner than a slow write, which
-      # delayed each turn by half a second.  The store gets the reservation in
-      # the background.  The end of a turn still waits for the store.
+      # Waiting for a slow write delayed each turn by half a second; the standby
+      # acknowledges a hundred times sooner.  The reservation is written to the
+      # store in the background.  The end of a turn still waits for the store.
       await self._reservations.reserve_at_standby(entry, ask)
     else:
-      is_new = entry.is_unverified
+      was_unverified = entry.is_unverified
       async with entry.lock:
         await self._reserve(entry, ask)
-      if is_new and home == entry.ledger.home:
-        # If a network partition begins now, the other domains already know the
-        # program.
+      if was_unverified and home == entry.ledger.home:
+        # Announced at once, so that the other domains know the program if a
+        # network partition begins before its next turn.
         entry.uninformed_domains = self._members.domains - {home}
         self._copies.announce_in_background(entry)
     log.debug(
-      'Turn %s of %s is granted: %d tokens spent with it, row %d.',
+      'Turn %s of %s is granted: %d tokens spent with it, row version %d.',
       ask.request,
       ask.program,
       entry.ledger.spent,
@@ -174,15 +184,19 @@
       await self._reservations.reserve(entry, ask)
     finally:
       if entry.is_unverified and not entry.ledger.spent:
-        # The next call asks the other members.  A ledger with spent tokens must
-        # not be dropped: at the start of a network partition, programs that
+        # The entry of a refused first turn is dropped, so that the next turn
+        # asks the other members.  A ledger with spent tokens must be kept: when
+        # it was dropped at the start of a network partition, programs that
         # retried in a loop got a new budget after each refusal.
         self.entry_by_program.pop(ask.program, None)
 
   async def close(self, done: turn_messages.CloseTurn) -> turn_messages.Closed:
     """Settles a turn that has ended.
 
-    A turn that is not in the store counts once the standby has acknowledged it.
+    Its reservation is replaced by the tokens that it delivered.  For a turn
+    that is not in the store, returns once the standby has acknowledged the
+    settlement, and raises if no member does.  Raises `not_owner` if such a turn
+    is complete and its program is not known here, unless `done.is_away` is set.
     """
     entry = self.entry_by_program.get(done.program)
     self.keep(done)
@@ -215,7 +229,10 @@
     return turn_messages.Closed()
 
   def keep(self, done: turn_messages.CloseTurn) -> None:
-    """Caches a complete turn, and queues it for the store if not saved."""
+    """Caches a complete turn, and queues it for the store if not saved there.
+
+    A turn that was not completed is ignored.
+    """
     if done.turn is None:
       return
     self.cache.put(done.turn)
@@ -236,8 +253,9 @@
     return entry
 
   async def _merge_peer_copies(self, entry: program_rows.Entry) -> None:
-    # Without the store, a copy is not known to be the newest one.  A third
-    # member with an older copy let a budget be exceeded.
+    # Without the store, a copy from an owner is not known to be the newest one.
+    # When a member that was neither owner nor standby relied on an older copy,
+    # a budget was exceeded.
     for copy in await self._copies.fetch(entry.program):
       entry.ledger.merge(program_copies.decode(copy))
     entry.is_copy = False
@@ -245,11 +263,18 @@
   async def _load_entry(
     self, ask: turn_messages.OpenTurn, *, is_new: bool
   ) -> program_rows.Entry:
+    """Returns a new entry, from the store and other members where needed.
+
+    A program without a row is created if `ask.begins` is set.  If nothing is
+    found and the store cannot be read, or `ask.begins` is not set, raises
+    `not_owner` unless `is_new` is set.
+    """
+    # Whether the store can be read and no member has spending that it lacks.
     is_settled = self._store.is_reached and self._members.is_settled
     if is_settled and not ask.parent and ask.begins:
-      # A first turn starts a program.  If the program exists already, the
-      # failed condition of the first write returns its row, so no read is
-      # needed here.
+      # A turn without a parent usually starts a program.  If the program exists
+      # already, the failed condition of the first write returns its row, so no
+      # read is needed here.
       return program_rows.Entry(
         program=ask.program,
         ledger=self._rows.make(),
@@ -273,6 +298,8 @@
     is_split = self._is_in_startup_window or bool(
       self._members.find_unsettled()
     )
+    # A partition that caused the current outage began when the outage did, and
+    # part of its detection time has passed.
     return program_rows.Entry(
       program=ask.program,
       ledger=self._rows.make(is_split=is_split),
@@ -289,9 +316,14 @@
   async def _fetch_ledgers(
     self, ask: turn_messages.OpenTurn
   ) -> list[ledger.Ledger]:
-    """Returns the ledgers of a program from the store and other members."""
-    # A previous owner may hold spending from an outage that is not in the store
-    # yet: without it, a budget was exceeded.
+    """Returns the ledgers of a program from the store and other members.
+
+    Members that know nothing more are left out, as is the store if it cannot be
+    read; a program that has no row gets a new ledger.
+    """
+    # Other members are always asked: a previous owner may hold spending from an
+    # outage that is not in the store yet.  When it was not counted, a budget
+    # was exceeded.
     row, copies = await asyncio.gather(
       self._rows.read(
         ask.program, is_split=bool(self._members.find_unsettled())
@@ -315,7 +347,10 @@
 
   @property
   def is_owing(self) -> bool:
-    """Whether spending of other domains' programs is not in the store yet."""
+    """Whether the store lacks spending of this daemon that other domains need.
+
+    It is spending from the budgets of programs whose home is another domain.
+    """
     mine = self._members.me.domain
     return any(
       entry.needs_flush and entry.ledger.owes and entry.ledger.home != mine
@@ -324,7 +359,7 @@
 
   @property
   def is_behind(self) -> bool:
-    """Whether turns or spending that other members need are not stored yet."""
+    """Whether this daemon has turns or spending that the store lacks."""
     return len(self.unsaved) > 0 or any(
       entry.needs_flush and entry.ledger.owes
       for entry in self.entry_by_program.values()
@@ -333,16 +368,16 @@
   # --- Planned stop -----------------------------------------------------------
 
   async def hand_over(self) -> None:
-    """Sends the programs in use to the members that take over from this one.
+    """Sends each program in use to the member that takes over from this one.
 
-    The store usually has them as well, but it may be unreachable now, or become
-    unreachable before a program's next call.
+    The store usually has the programs as well, but it may be unreachable now,
+    or become unreachable before a program's next turn.  Failures are logged.
     """
     turns_by_program: dict[str, list[turn_messages.Turn]] = {}
     for turn in self.cache.get_all():
       turns_by_program.setdefault(turn.program, []).append(turn)
-    limit = time.monotonic() - ACTIVE_WINDOW_SECONDS
-    entries = [e for e in self.entry_by_program.values() if e.used_at > limit]
+    start = time.monotonic() - ACTIVE_WINDOW_SECONDS
+    entries = [e for e in self.entry_by_program.values() if e.used_at > start]
     semaphore = asyncio.Semaphore(MAX_PARALLEL_HANDOVERS)
 
     async def send_entry(entry: program_rows.Entry) -> None:
@@ -355,14 +390,19 @@
 
   @mode.Service.task
   async def _expire_periodically(self) -> None:
+    """Evicts expired turns and idle programs.
+
+    A program with unsaved changes stays on the member that ranks first, which
+    writes them to the store.
+    """
     while not self.should_stop:
       await ticks.sleep(1.0)
       self.cache.expire()
-      limit = time.monotonic() - IDLE_TIMEOUT_SECONDS
+      idle_since = time.monotonic() - IDLE_TIMEOUT_SECONDS
       idle = [
         program
         for program, entry in self.entry_by_program.items()
-        if entry.used_at < limit
+        if entry.used_at < idle_since
         and not (entry.needs_flush and self._copies.is_first(program))
       ]
       for program in idle:
--- a/src/woadrun/process/reservations.py
+++ b/src/woadrun/process/reservations.py
@@ -1,9 +1,21 @@
 """Reserves the tokens of a turn against the budget of its program.
 
-While the store is reachable, each reservation is a conditional write of one
-row.  While it is unreachable, a share of the remaining budget may be spent once
-the standby acknowledges.  The rest is kept for domains that may reach the store
-meanwhile, unless each of them counts the turn as well.
+A program is a sequence of turns, its requests to models, with a common budget
+of tokens.  It has a home failure domain and there an owner, the daemon that
+decides, and a standby, which holds a copy.  The store has one row for each
+program.
+
+While the store is reachable, each reservation is a conditional write of that
+row.  While the store is unreachable, a daemon may spend a share of the budget
+that remains (`decisions/shares.py`), each turn only once the standby, if there
+is one, has acknowledged it.  The rest is left to domains that may still reach
+the store.  The share is computed from the spending that all other domains are
+known to count, so that it grows when they acknowledge more of it.
+
+If the home domain cannot be reached, another domain may decide: it is then away
+from home.  Another domain is unsettled if it may have spending that the store
+does not have yet.  A program is split if it may also have started in another
+domain.  A program may overrun its budget by one turn.
 """
 
 from __future__ import annotations
@@ -24,10 +36,11 @@
 
 log = logging.getLogger('woadrun.programs')
 
-# Write conflicts of one reservation before it is refused; each means that
-# another daemon wrote the same row.
+# Number of write conflicts after which a reservation is refused.  Each of them
+# means that another daemon wrote the same row.
 MAX_CONFLICTS = 6
-# Retry delay for callers while the state of the program cannot be determined.
+# Retry delay, in seconds, for callers that are refused for a reason that may
+# soon have passed.
 RETRY_AFTER_SECONDS = 0.3
 
 
@@ -52,8 +65,10 @@
   ) -> None:
     """Reserves a turn's tokens; the caller holds the entry's lock.
 
-    Raises `budget_exceeded` if they do not fit, or the error that keeps this
-    daemon from deciding.
+    Raises `budget_exceeded` if they do not fit, `owner_unavailable` if an
+    unreachable domain may be spending the rest, `not_committed` after too many
+    write conflicts, and without the store also `platform_unavailable`,
+    `not_owner` or the error of the standby.
     """
     budget = math.inf if ask.budget is None else ask.budget
     for _ in range(MAX_CONFLICTS):
@@ -67,7 +82,8 @@
         await self._reserve_without_store(entry, ask, budget, error)
         return
       # Another daemon changed the row: the turn may not fit the budget any
-      # more.
+      # more.  If the new row has the reservation, that daemon made it, and it
+      # stays.
       if ask.request not in entry.ledger.saved.reserved:
         entry.ledger.withdraw(ask.request)
     raise errors.WoadrunError(
@@ -79,7 +95,11 @@
   async def reserve_at_standby(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn
   ) -> None:
-    """Reserves a turn's tokens at the standby; the store is written later."""
+    """Reserves a turn's tokens at the standby while the store is slow.
+
+    The flusher writes the reservation to the store.  Raises the same errors as
+    `reserve`, except for write conflicts.
+    """
     budget = math.inf if ask.budget is None else ask.budget
     await self._check_budget(entry, ask, budget)
     entry.ledger.reserve(ask.request, ask.most)
@@ -91,6 +111,11 @@
   async def _check_budget(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
+    """Raises if a turn would exceed the budget or the limit of this domain.
+
+    Does nothing for a turn that is reserved already.  Raises `budget_exceeded`
+    or `owner_unavailable`.
+    """
     held = entry.ledger
     if ask.request in held.reserved:
       return
@@ -114,16 +139,22 @@
   async def _check_away_limit(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
-    # The home domain may be spending the other half without the store.
+    """Checks a turn away from home against the limit of such spending.
+
+    `away_most` limits the total that domains other than the home may spend.  It
+    is half of what is left, or less: the home domain may be spending the other
+    half without the store.  Raises `owner_unavailable` above the limit.
+    """
     held = entry.ledger
     is_bounded = budget < math.inf
     if is_bounded and held.away_most is None and not held.version:
+      # The row was not read yet and may have a limit.
       await self._rows.reload(entry)
     if is_bounded and held.away_most is None:
       share = self._get_share(entry, has_store=True)
-      # The row lacks what the home domain spent in an outage before a network
-      # partition began: with only the row counted, those tokens were spent here
-      # again.
+      # The row may lack what the home domain spent in an outage just before the
+      # partition.  When only the row was counted, this domain spent the same
+      # tokens again.
       reported = (
         program_copies.decode(entry.home_copy).spent if entry.home_copy else 0
       )
@@ -131,7 +162,7 @@
       held.away_most = held.spent + int(max(0.0, left) * share)
       log.info(
         'Home domain %s is unreachable; program %s may spend up to %d: %d '
-        'spent, %d reported, share %.3f, row %d.',
+        'spent, %d reported by the home domain, share %.3f, row version %d.',
         held.home,
         entry.program,
         held.away_most,
@@ -153,27 +184,31 @@
   def _check_partition_limit(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
-    # A domain on the other side of a network partition may be spending its own
-    # share.
+    """Checks a turn of the home domain against its limit in a partition.
+
+    A domain on the other side of a network partition may be spending a share of
+    its own.  The limit is computed once for each partition.  Raises
+    `owner_unavailable` above the limit.
+    """
     held = entry.ledger
     unsettled = self._find_unsettled(entry)
     if not unsettled:
       entry.partition_limit = None
-      # All domains are reachable again and their spending is in the store.
-      # When the limit of one partition was kept, other domains had nothing left
-      # to spend in the next partition.
+      # All domains are reachable again and their spending is in the store, so
+      # that the limits of this partition end.  When they were kept, other
+      # domains had nothing left to spend in the next partition.
       held.away_most = None
       return
     if entry.partition_limit is None:
-      # The other side divides what it knows to be left: when both sides counted
-      # from the current spending, both got a share of the tokens spent as the
-      # partition began.
+      # The other side takes its share of what it knows to be left.  This side
+      # must start from the same spending: when it started from its current one,
+      # both sides took a share of the tokens spent as the partition began.
       share = self._get_share(entry, has_store=True)
       known = entry.get_known(lasted=self._get_disconnected_seconds())
       entry.partition_limit = known + (budget - known) * share
       log.info(
-        'While %s may spend too, program %s may spend up to %.0f: %d known, '
-        'share %.3f, row %d.',
+        'While %s may spend too, program %s may spend up to %.0f: %d known to '
+        'other domains, share %.3f, row version %d.',
         ', '.join(sorted(unsettled)),
         entry.program,
         entry.partition_limit,
@@ -191,16 +226,19 @@
   def _find_unsettled(self, entry: program_rows.Entry) -> set[str]:
     """Returns the other domains that may spend without this one knowing.
 
-    A domain that has not heard of a program may start it as new.
+    These are the unsettled domains, and those that have not been told of the
+    program: they may start it as new.
     """
     return self._members.find_unsettled() | entry.uninformed_domains
 
   def _get_share(self, entry: program_rows.Entry, *, has_store: bool) -> float:
+    """Returns this domain's share of the remaining budget, from 0 to 1."""
     held = entry.ledger
     is_home = held.home == self._members.me.domain
     if held.saved.is_split and not has_store:
       # Another domain may consider itself the home domain as well.
       is_home = False
+    # The share of the home domain is fixed, so the home is not counted here.
     unsettled = len(self._find_unsettled(entry) - {held.home})
     return shares.get_share(
       is_home=is_home,
@@ -216,30 +254,38 @@
     budget: float,
     error: errors.WoadrunError,
   ) -> None:
+    """Reserves a turn's tokens once the standby acknowledges them.
+
+    `error` is the reason for which the store is not used.  If the turn is
+    refused, its reservation is withdrawn.
+    """
     if entry.is_unverified and not ask.keeps_history:
-      # The program may have spent its budget elsewhere: when it was taken for
-      # new, each domain granted the whole budget again.
+      # A turn without a history need not be the first of its program, and the
+      # program may have spent its budget elsewhere.  When such a program was
+      # taken for new, each domain granted the whole budget again.
       entry.ledger.withdraw(ask.request)
       raise errors.WoadrunError(
         errors.Code.NOT_OWNER,
         f'Cannot determine whether the program is new: {error.message}',
         retry_after=RETRY_AFTER_SECONDS,
       ) from error
-    # From here on, a copy from another daemon does not remove the reservation.
+    # Protects the reservation: a copy from another daemon that lacks it does
+    # not remove it.
     entry.local_decisions.add(ask.request)
     entry.needs_flush = True
     try:
       self._check_authority(entry.ledger, error)
       await self._check_offline(entry, ask, budget)
       await self._copies.send(entry, ())
-      # The standby may have returned turns that this daemon did not count.
+      # The standby may have answered with turns that this daemon did not count,
+      # which are in the ledger now.
       await self._check_offline(entry, ask, budget)
     except errors.WoadrunError:
       entry.ledger.withdraw(ask.request)
       raise
     log.info(
-      'Turn %s of %s is granted without the store: %d tokens spent, row %d '
-      '(%s).',
+      'Turn %s of %s is granted without the store: %d tokens spent, row '
+      'version %d (%s).',
       ask.request,
       ask.program,
       entry.ledger.spent,
@@ -250,9 +296,13 @@
   def _check_authority(
     self, held: ledger.Ledger, error: errors.WoadrunError
   ) -> None:
-    # An isolated daemon must not decide, because the other members of its
-    # domain continue without it; nor must a daemon away from a home domain that
-    # is still heard.  Both sides would spend the same tokens.
+    """Raises `error` if this daemon must not decide without the store.
+
+    An isolated daemon must not, because the other members of its domain
+    continue without it.  A daemon of another domain must not while heartbeats
+    of the home domain arrive.  Otherwise both sides would spend the same
+    tokens.
+    """
     home = held.home
     is_away = home != self._members.me.domain
     if self._members.is_isolated or (
@@ -261,11 +311,12 @@
       raise error
 
   def _may_have_started_elsewhere(self, entry: program_rows.Entry) -> bool:
-    """Returns whether a program may have started across a partition too.
+    """Returns whether a program may have started in another domain unnoticed.
 
-    If so, the partition is undetected and the other side reserves no share for
-    this one, which then has only the one turn by which a budget may be
-    overrun.  A program that is known to be split has a share of its own.
+    That domain is behind a partition that was not detected when the program
+    started, and it leaves no share to this domain.  This domain then has only
+    the one turn by which a budget may be overrun.  The result is False for a
+    program that is known to be split, which has a share in each domain.
     """
     held = entry.ledger
     is_home = held.home == self._members.me.domain
@@ -275,13 +326,15 @@
       return entry.undetected_partition_until > -math.inf
     if time.monotonic() >= entry.undetected_partition_until:
       # No partition was detected in time: the store is unreachable for all
-      # domains.
+      # domains.  The time is reset, so that a domain that becomes unsettled
+      # later does not count.
       entry.undetected_partition_until = -math.inf
     return entry.undetected_partition_until > -math.inf
 
   async def _check_offline(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> None:
+    """Raises `platform_unavailable` if a turn may not run without the store."""
     held = entry.ledger
     if self._may_have_started_elsewhere(entry) and held.spent > ask.most:
       raise errors.WoadrunError(
@@ -304,7 +357,10 @@
   def _fits_offline(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn, budget: float
   ) -> bool:
-    """Returns whether a reserved turn may run without the store."""
+    """Returns whether a reserved turn may run without the store.
+
+    The spending in the ledger includes the turn's reservation.
+    """
     if budget == math.inf:
       return True
     held = entry.ledger
@@ -312,16 +368,17 @@
     known = self._get_offline_known(entry, ask, share)
     remaining = (budget - known) * share
     if held.home != self._members.me.domain:
-      # The home domain may not have detected the partition and may spend the
-      # whole budget: this domain then spends only the one turn by which a
-      # budget may be overrun.
+      # The home domain may not have detected the partition yet, and may spend
+      # the whole budget.  This domain therefore spends at most the one turn by
+      # which a budget may be overrun.
       remaining = min(remaining, ask.most)
     most = known + remaining
     if held.saved.is_split and held.spent - ask.most < most:
-      # A program may overrun its budget by one turn.  That turn is granted
-      # here, since most programs that may have started elsewhere have not: a
-      # quarter of the usual budget is less than the maximum of one turn, and
-      # their second turns were refused until the partition had healed.
+      # The one turn by which a program may overrun its budget is granted here,
+      # since most programs that may have started elsewhere have not.  Their
+      # share with three domains, a quarter of the usual budget, is less than
+      # the maximum of one turn: without this rule, their second turns were
+      # refused until the partition had healed.
       return True
     return held.spent <= max(most, ask.most)
 
@@ -330,13 +387,14 @@
   ) -> int:
     """Returns the spending from which this domain's share is computed.
 
-    It stays the same until the row is saved.
+    It is determined once in an outage and kept until the row is saved, except
+    that reports to other domains may change it.
     """
     if entry.offline_known is None:
       entry.offline_known = self._find_known_spent(entry, ask)
       log.info(
         'Without the store, program %s may spend share %.3f of the rest: '
-        '%d known, row %d, unsettled: %s.',
+        '%d known to other domains, row version %d, unsettled domains: %s.',
         entry.program,
         share,
         entry.offline_known,
@@ -348,7 +406,10 @@
   def _find_known_spent(
     self, entry: program_rows.Entry, ask: turn_messages.OpenTurn
   ) -> int:
-    """Returns the spending that both the home and other domains know."""
+    """Returns the spending that the home and all other domains surely know.
+
+    It is in tokens and does not include the turn itself.
+    """
     held = entry.ledger
     if held.home != self._members.me.domain:
       # All spending known here was reported by the home domain.
@@ -356,16 +417,18 @@
     return entry.get_known(lasted=self._get_disconnected_seconds())
 
   def _get_disconnected_seconds(self) -> float:
-    """Returns the longest time for which others may have heard nothing.
-
-    It is in seconds.
-    """
+    """Returns for how many seconds other domains may have learned nothing."""
     return max(self._store.outage, self._members.get_silence())
 
   async def _report_spending(self, entry: program_rows.Entry) -> None:
-    # A partition is detected a second after it begins.  A home domain that
-    # treated the whole rest as its own until then spent tokens of which the
-    # side with the store had a share.
+    """Raises this domain's limit by reporting its spending to all others.
+
+    Does nothing outside the home domain, for a split program or while a domain
+    is unsettled.  The known spending rises only if all other domains count the
+    report, because a partition is detected only a second after it begins: a
+    home domain that treated the whole rest as its own until then spent tokens
+    of which the side with the store had a share.
+    """
     held = entry.ledger
     is_home = held.home == self._members.me.domain
     if not is_home or held.saved.is_split or self._members.find_unsettled():
@@ -373,6 +436,8 @@
     async with entry.report_lock:
       entry.min_reported_spent = spent = held.spent
       if await self._copies.report_to_domains(entry):
+        # A turn that ended meanwhile may have lowered the spending that the
+        # other domains were sent.
         known = min(spent, entry.min_reported_spent)
         entry.offline_known = max(known, entry.offline_known or 0)
         log.info(
--- a/src/woadrun/request/attempts.py
+++ b/src/woadrun/request/attempts.py
@@ -1,9 +1,14 @@
 """Sends requests to instances of a service, with retries and hedging.
 
-A request that is not idempotent is retried only if the instance reports that
-it did not run the request, or if the request did not reach the instance.  An
-idempotent request is also sent to a second instance when the first one takes
-much longer than average.
+A request that is not idempotent is retried only if the instance replies that it
+did not run the request, or if the request did not reach the instance.  An
+idempotent request is also hedged: it is sent to a second instance when the
+first one takes much longer than average.
+
+A turn is a model request of a program; other requests have none.  A reply is
+genuine if it has the id of the request and the signature of the instance.  Load
+and health are recorded per incarnation, the time from the start of an instance
+to its end, which `Instance.life` identifies.
 """
 
 from __future__ import annotations
@@ -51,9 +56,11 @@
 class _SendState:
   """The state of one request across its attempts.
 
-  `tried` lists the incarnations (`Instance.life`) that were chosen so far,
-  `last_error` is the error of the latest failed attempt, and `refusal` is the
-  authorization error that forbids further attempts.
+  `deadline` is on the monotonic clock.  `cached_by_instance` has the number of
+  prompt tokens that each incarnation is expected to have cached.  `tried` lists
+  the incarnations that were chosen so far, `last_error` is the error of the
+  latest attempt without a reply, and `refusal` is the authorization error that
+  forbids further attempts.
   """
 
   request: exchange.Request
@@ -77,8 +84,9 @@
   """Chooses instances for requests, sends the requests and retries them.
 
   `is_cut_off` takes a failure domain and returns whether a network partition
-  separates it from this daemon, with this daemon on the side that has lost the
-  row store.
+  separates it from this daemon, and the daemon has lost the row store as well.
+  A daemon that can reach the store does not abort streams: the instance may be
+  healthy, and its callers decide how long to wait.
   """
 
   def __init__(
@@ -110,10 +118,11 @@
   ) -> AsyncIterator[tuple[exchange.Reply, instances.Instance]]:
     """Returns a context with the reply of the instance that ran the request.
 
-    Raises `upstream_unavailable` if no instance ran the request, and
-    `outcome_unknown` if one may have run it but sent no valid reply.  If
-    `Authorization.check` fails before any instance may have run the request,
-    raises the error of that check.
+    The reply may have any status.  `deadline` is on the monotonic clock; `body`
+    replaces that of the request.  Raises `outcome_unknown` if an instance may
+    have run the request but none sent a genuine reply.  If no instance may have
+    run it, raises the error of `Authorization.check` if that failed, else
+    `upstream_unavailable`.
     """
     route = grant.route
     state = _SendState(
@@ -153,7 +162,7 @@
   # --- Attempts -------------------------------------------------------------
 
   def _prepare_next(self, state: _SendState) -> exchange.Sending | None:
-    """Returns the next attempt to make, or None if there is none.
+    """Returns the next attempt and counts it as tried; None if there is none.
 
     There is none once the route's limit of attempts or the deadline is
     reached, the request is no longer authorized, or no instance is left.
@@ -207,8 +216,9 @@
   async def _send_watched(self, sending: exchange.Sending) -> _Attempt:
     """Makes an attempt that is aborted if a partition cuts off its instance.
 
-    Otherwise the caller of a stream waits for seconds until it times out and
-    retries.
+    Without the abort, the caller of the stream would wait for seconds until it
+    times out and retries.  Raises `Lost` if it is aborted before its reply has
+    begun.
     """
     domain = sending.instance.domain
     scope = asyncio.timeout(None)
@@ -238,7 +248,11 @@
   async def _send_hedged(
     self, state: _SendState, sending: exchange.Sending
   ) -> _Attempt:
-    """Returns the first usable attempt, hedging with a second instance."""
+    """Returns the first usable attempt, hedging with a second instance.
+
+    The second attempt begins after a multiple of the average request time of
+    the service, if the hedge budget allows it.
+    """
     tasks = [asyncio.ensure_future(self._send_once(sending))]
     average_seconds = self._loads.get_usual_seconds(state.service)
     try:
@@ -258,7 +272,11 @@
       raise
 
   async def _send_once(self, sending: exchange.Sending) -> _Attempt:
-    """Sends a request to one instance and returns once its reply has begun."""
+    """Sends a request to one instance and returns once its reply has begun.
+
+    `id` below is that of the incarnation.  Raises `NotSent` or `Lost` without a
+    reply.
+    """
     id = sending.instance.life
     stack = contextlib.AsyncExitStack()
     stack.enter_context(self._loads.count(id))
@@ -288,7 +306,10 @@
   async def _relay_chunks(
     self, id: str, chunks: AsyncGenerator[bytes]
   ) -> AsyncGenerator[bytes]:
-    """Yields the chunks of a reply; a lost reply counts as a failure."""
+    """Yields a reply's chunks; a truncated reply is a failure of the instance.
+
+    Raises `Lost` in that case.
+    """
     try:
       async with contextlib.aclosing(chunks):
         async for chunk in chunks:
@@ -352,6 +373,7 @@
 
 
 def _get_urgency(state: _SendState) -> int | None:
+  """Returns the urgency of a turn, 0 for the highest; None if not a turn."""
   turn = state.request.turn
   if turn is None:
     return None
@@ -363,10 +385,11 @@
 async def _get_first_usable(
   state: _SendState, tasks: list[asyncio.Task[_Attempt]]
 ) -> _Attempt:
-  """Returns the first usable attempt; without one, the first task's result.
+  """Returns the first usable attempt, and cancels or closes the others.
 
-  The result of the first task may also be an exception, which is raised.  All
-  other attempts are cancelled or closed.
+  An attempt is usable if it has a genuine reply and the instance did not reply
+  that the request was not run.  If no attempt is usable, returns the attempt of
+  the first task, or raises the error of that task.
   """
   pending = set(tasks)
   while pending:
@@ -391,6 +414,7 @@
 
 def _may_have_run(task: asyncio.Task[_Attempt]) -> bool:
   if task.cancelled():
+    # The request may have been sent already.
     return True
   if task.exception() is not None:
     return isinstance(task.exception(), exchange.Lost)
@@ -412,5 +436,5 @@
   return (
     f'answers {reply.status}'
     if reply.is_genuine
-    else 'reply without the id of the request or the mark of the instance'
+    else 'reply without the id of the request or the signature of the instance'
   )
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -1,9 +1,15 @@
 """Execution of calls: their order, their records and their outcomes.
 
-A call that fails before it is sent upstream is refused with "not run", or
-with "unknown" if another daemon may still execute it.  The record of a call is
-committed before the call is sent, and its outcome is committed before the
-caller gets the end of the answer.
+A program is a sequence of calls, which run one at a time.  Each program belongs
+to a slot; the owner of a slot is the daemon that executes the calls of its
+programs, and the standby is the daemon that replicates its records.  A record
+is committed once it is stored outside the owner.  A repeatable call may run
+more than once; any other call is an action, which must run at most once.
+
+The accepted record of a call is committed before the call is sent upstream, and
+the finished record with its outcome before the caller gets the end of the
+answer.  The error of a call that was not sent states "not run" (`errors.Ran`),
+or "unknown" if another daemon may still execute the call.
 """
 
 from __future__ import annotations
@@ -35,6 +41,7 @@
 
 log = logging.getLogger('woadrun.runner')
 
+# Interval between checks whether the previous call of a program is recorded.
 ORDINAL_POLL_SECONDS = 0.01
 # Retry-After value for a request whose outcome another daemon recorded.
 SUPERSEDED_RETRY_AFTER_SECONDS = 0.1
@@ -43,7 +50,11 @@
 
 
 class Runner(mode.Service):
-  """Executes calls, and records their outcomes."""
+  """Executes calls, and records their outcomes.
+
+  `finished` counts the calls that got an answer from upstream, `refused` those
+  that ended with a `WoadrunError`.
+  """
 
   def __init__(
     self,
@@ -77,7 +88,10 @@
     held.get_running = self._get_running
 
   def start_execution(self, call: calls.Call) -> execution.Execution:
-    """Returns the execution of a call after starting its task."""
+    """Returns the execution of a call after starting its task.
+
+    Errors of the call complete the answer of the execution.
+    """
     running = execution.make_execution(call)
     key = (call.program, call.request)
     self.execution_by_key[key] = running
@@ -85,7 +99,10 @@
     return running
 
   def is_in_progress(self, key: Key) -> bool:
-    """Returns whether this daemon executes a call or records its outcome."""
+    """Returns whether this daemon executes a call or records its outcome.
+
+    `key` has the ids of the program and of the request.
+    """
     return key in self.execution_by_key or self._pending_outcomes[key] > 0
 
   def cancel(self, program_id: str, reason: str) -> None:
@@ -121,10 +138,11 @@
       self.execution_by_key.pop(key, None)
 
   async def _wait_ordinal(self, call: calls.Call) -> None:
-    """Returns once the call with the previous ordinal is recorded.
+    """Returns once the call with the previous ordinal has been accepted.
 
     Returns at once for a call without an ordinal.  Raises `out_of_order` if
-    the ordinal was used already, or was not reached in time.
+    the ordinal was used already, or if the previous one is not used within the
+    hold time, and `not_owner` if this daemon does not own the slot.
     """
     _, slot = calls.split_program_id(call.program)
     deadline = time.monotonic() + self._config.timing.hold
@@ -140,6 +158,12 @@
   # --- Executing one call ---------------------------------------------------
 
   async def _run(self, running: execution.Execution) -> None:
+    """Executes a call: acquires its permits, records it and sends it.
+
+    A call holds two permits: that of its configuration row, and that of its
+    upstream, which `enter` acquires.  Raises the error of a refused or failed
+    call.
+    """
     call = running.call
     _, slot = calls.split_program_id(call.program)
     holding = await self._held.open(slot)
@@ -150,15 +174,16 @@
     permit = secrets.token_hex(8)
     async with self._places.permits(call, found, row, plan, permit) as place:
       if not call.repeatable:
-        # An action whose intent is committed must be sent at once, or its
-        # outcome is unknown.  The permit is therefore acquired first.
+        # An action whose accepted record is committed must be sent at once, or
+        # its outcome is unknown.  The upstream's permit is therefore acquired
+        # before the record is made.
         await self._places.enter(place, found, row, plan.cost)
       holding = await self._held.open(slot)
       found = holding.state.get_program(call.program)
       self._check_call(found)
       if call.request in found.request_by_id:
-        # While the call waited, the slot may have moved to another owner and
-        # back, and that owner may have executed the caller's retry.
+        # While this call waited, the slot may have moved to another owner and
+        # back, and the other owner may have executed a retry of this request.
         raise make_superseded(call.request)
       if call.ordinal and call.ordinal != found.calls + 1:
         raise make_out_of_order(found.calls)
@@ -175,6 +200,8 @@
         await self._take_back(accepted, error)
         raise
       if previous_engine not in ('', found.engine):
+        # The program moved to another engine.  Its prefix cache on the previous
+        # one is of no more use.
         self._upstreams.drop_program_cache(call.program, previous_engine)
       await self.perform(running, accepted, place, row)
 
@@ -187,10 +214,12 @@
     row: rows.Row,
     plan: placing.Plan,
   ) -> None:
-    """Returns once the record is committed and the upstream permit is held.
+    """Returns once the record is committed and the upstream's permit is held.
 
-    The permit of an action is already held.  For a repeatable call the commit
-    and the wait for the permit run concurrently.
+    The permit of an action is already held, and its commit is a strong one: the
+    standby or the platform has to store the record.  For a repeatable call the
+    commit and the wait for the permit run concurrently.  Raises the first error
+    of either.
     """
     if not accepted.repeatable:
       await self._held.settle(ticket, is_strong=True)
@@ -205,6 +234,10 @@
         raise result
 
   def _check_call(self, found: program.Program) -> rows.Row:
+    """Returns the configuration row for a program that may make a call.
+
+    Raises `program_ended`, `deadline_passed` or `limit_reached` otherwise.
+    """
     row = self._table.get_row(found.started.team, found.started.kind)
     if found.ended:
       raise make_ended(found)
@@ -222,12 +255,13 @@
   async def _take_back(
     self, accepted: program.Accepted, error: BaseException
   ) -> None:
-    """Records a call that was never sent as not run.
+    """Records an accepted call that was never sent as not run.
 
-    Other daemons may already store the accepted record, and a later owner of
-    the slot may find it.  A later owner never sends an action that it finds,
-    but it executes a repeatable call.  The error of a repeatable call
-    therefore says "not run" only once the outcome "not run" is committed.
+    `error` is the error that kept the call from being sent.  Other daemons may
+    already store the accepted record, and a later owner of the slot may find
+    it.  A later owner never sends an action that it finds, but it does execute
+    a repeatable call that has no outcome.  If the outcome of a repeatable call
+    is not committed in time, `error` therefore states "unknown".
     """
     record = program.Finished(
       program=accepted.program,
@@ -237,6 +271,7 @@
       time=self.clock(),
     )
     key = (accepted.program, accepted.request)
+    # Counted from now on: `record_outcome` counts it only once the task runs.
     self._pending_outcomes[key] += 1
     recording = asyncio.ensure_future(self._try_record_outcome(record))
     self._not_run_tasks.add(recording)
@@ -249,7 +284,7 @@
         error.ran = errors.Ran.UNKNOWN
 
   async def _try_record_outcome(self, finished: program.Finished) -> bool:
-    """Returns whether an outcome took effect; logs errors."""
+    """Returns whether an outcome took effect; errors are logged as False."""
     try:
       return await self.record_outcome(finished)
     except errors.WoadrunError as error:
@@ -267,7 +302,9 @@
   ) -> None:
     """Sends an accepted call, records its outcome and delivers the answer.
 
-    Raises the error of a failed call after it was recorded.
+    Raises the error of a failed call once the failure is recorded,
+    `owner_unavailable` if another daemon recorded a different outcome first,
+    and `outcome_unknown` if the outcome could not be committed.
     """
     retry_budget = self._get_retry_budget(row)
     try:
@@ -296,6 +333,7 @@
     self.deliver_answer(running, finished)
 
   def _get_owned_program(self, program_id: str) -> program.Program:
+    """Returns a program; raises `not_owner` if its slot was handed over."""
     _, slot = calls.split_program_id(program_id)
     holding = self._held.holding_by_slot.get(slot)
     if holding is None:
@@ -310,14 +348,17 @@
     error = make_cancelled(running)
     if not accepted.repeatable:
       error.ran = errors.Ran.UNKNOWN
-    # The token usage of a cancelled call is unknown, so its whole reserve is
-    # charged.
+    # The token usage of a cancelled call is unknown, so all tokens reserved for
+    # it are charged.
     return make_failed(accepted, error, now=self.clock(), used=accepted.reserve)
 
   def deliver_answer(
     self, running: execution.Execution, finished: program.Finished
   ) -> None:
-    """Completes the answer of a call for all its readers."""
+    """Completes the answer of a call for the caller and for its retries.
+
+    The tail of the stream was held back until the outcome was committed.
+    """
     if running.tail:
       running.stream_answer.write(running.tail)
       running.stream_answer.finish()
@@ -326,7 +367,9 @@
   async def record_outcome(self, finished: program.Finished) -> bool:
     """Returns whether an outcome took effect, once it is committed.
 
-    It has no effect if another owner recorded an outcome for the call first.
+    An outcome has no effect if another owner recorded a different one for the
+    attempt first.  Retries for twice the hold time, then raises
+    `outcome_unknown`.
     """
     key = (finished.program, finished.request)
     self._pending_outcomes[key] += 1
@@ -374,13 +417,17 @@
     )
 
   async def note_finished(self, message: messages.Finish) -> messages.Recorded:
-    """Commits the outcome of a call that any daemon executed."""
+    """Commits the outcome of a call in a slot that this daemon owns.
+
+    The call may have been executed by a previous owner of the slot.
+    """
     record = message.record
     holding = await self._held.open(message.slot)
     ticket = self._held.append(holding, [record])
     await self._held.settle(ticket, is_strong=False)
     found = holding.state.program_by_id.get(record.program)
-    # A program that is no longer stored had its outcomes recorded before.
+    # A program is deleted only some time after it has ended, and the outcomes
+    # of its calls were recorded before.
     has_outcome = found is None or found.has_outcome(record)
     if not has_outcome:
       log.info('Request %s already has a different outcome.', record.request)
@@ -392,6 +439,11 @@
     )
 
   def _get_running(self, slot: int) -> list[tuple[int, str, str]]:
+    """Returns slot, program and request of each accepted call of a slot.
+
+    A planned handover sends them to the next owner, which must not execute
+    these calls again.
+    """
     return [
       (slot, running.call.program, running.call.request)
       for running in self.execution_by_key.values()
@@ -400,7 +452,7 @@
     ]
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the running calls and the counters as plain data."""
     return {
       'running': [
         {
@@ -473,7 +525,10 @@
 
 
 def make_cancelled(running: execution.Execution) -> errors.WoadrunError:
-  """Returns the error for a call that was cancelled."""
+  """Returns the error for a call that was cancelled.
+
+  Without a reason from `Runner.cancel`, the daemon is stopping.
+  """
   reason = running.cancel_reason or 'the daemon is stopping'
   ran = errors.Ran.RAN if running.is_accepted else errors.Ran.NOT_RUN
   return errors.WoadrunError(
@@ -482,9 +537,10 @@
 
 
 def make_superseded(request: str) -> errors.WoadrunError:
-  """Returns the error for an attempt superseded by another daemon.
+  """Returns the error for an attempt superseded by another daemon's.
 
-  A retry with the same id gets the answer that the other daemon recorded.
+  A retry with the same request id gets the answer that the other daemon
+  recorded.
   """
   return errors.WoadrunError(
     errors.Code.OWNER_UNAVAILABLE,
