--- a/src/woadrun/process/feed.py
+++ b/src/woadrun/process/feed.py
@@ -1,7 +1,13 @@
 """Follows one table of the row store: first a full list, then its changes.
 
-A few daemons of each failure domain follow the store itself; the others fetch
-the changes from daemons that have them.
+The row store (the store) is the platform's transactional table service.  Each
+transaction increments one counter, the version of the store, whose value
+becomes the version of the rows written.  A table is divided into named parts; a
+feed follows the part with the empty name.
+
+A few daemons of each failure domain, a group of VMs that may be cut off
+together, follow the store itself; the others fetch the changes from daemons
+that have them (`feed_sync.py`).
 """
 
 from __future__ import annotations
@@ -24,31 +30,34 @@
 # Time for which the store may delay its response while nothing changes.  The
 # detection of a dead connection is delayed by as much.
 LONG_POLL_TIMEOUT_SECONDS = 2.0
-# The same time for the first call after a loss of contact with the store.
+# Time for which the store may delay its response to the first call after a loss
+# of contact, which shows that contact is regained.
 FIRST_WAIT_SECONDS = 0.05
 # Delay between attempts while the store is unavailable.
 RETRY_DELAY_SECONDS = 0.2
-# The same delay before the first list: a daemon that has just started cannot
-# serve requests without it, and may reach the store at any moment.
+# Delay between attempts to read the first list: a daemon that has just started
+# cannot serve requests without it, and may reach the store at any moment.
 INITIAL_RETRY_DELAY_SECONDS = 0.03
 # Delay after each change, so that the changes made meanwhile are fetched by a
 # single call.
 BATCH_DELAY_SECONDS = 0.1
 # Interval between checks of whether this daemon should follow the store itself.
-# The failure of a daemon that follows is not noticed any sooner, and each check
-# of each table wakes the process.
+# A shorter one has no use, since the failure of another daemon that follows the
+# store is not noticed any sooner, and each check of each table wakes the
+# process.
 LEADER_CHECK_INTERVAL_SECONDS = 0.5
 # Number of removed rows that are remembered for peers that ask for changes.
+# Beyond it the oldest is forgotten, and peers that lack it get a full list.
 MAX_TOMBSTONES = 1000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Changes:
-  """The changes of a table up to a version of the store.
+  """The changes of a table up to a version of the store, as sent to a peer.
 
   Large rows are compressed.  `is_list` means that `rows` is the whole table.
   `regained` is the time in seconds since contact with the store was regained,
-  None if it was never lost.  `is_lost` means that there is no contact now.
+  None if it was never lost.  `is_lost` means that the sender has no contact.
   """
 
   rows: tuple[rows.Row, ...]
@@ -59,17 +68,20 @@
 
 
 class Feed(mode.Service):
-  """The rows of one table in its unnamed part.
-
-  `on_list` is called with all rows whenever the table was read as a whole,
-  `on_row` with each change after that.  `regained_at` is the time at which
-  contact with the store was last regained, on the monotonic clock.  `version`
-  is the version of the store up to which the table is known, `changed` the
-  version of its newest change, -1 before the first list.  `leads` returns
-  whether this daemon should follow the store itself.  `on_change` is called
-  after changes received from the store, `on_read` after each of its responses
-  with the time at which the call began.  The store delays its response for at
-  most `wait` seconds while nothing changes.
+  """The rows of one table, in its part with the empty name.
+
+  `on_list` is called with all rows whenever the whole table was received,
+  `on_row` with each change after that, both with uncompressed rows.  `is_lost`
+  says that this daemon has no contact with the store, or had none yet.
+  `regained_at` is the time at which contact with the store was last regained
+  by this daemon or a peer, on the monotonic clock; it is -inf if contact was
+  never lost.  `version` is the version of the store up to which the table is
+  known, None before the first list.  `changed` is the version of its newest
+  change, -1 before the first list.  `leads` returns whether this daemon should
+  follow the store itself.  `on_change` is called after changes received from
+  the store, `on_read` after each of its responses with the time at which the
+  call began.  The store delays its response for at most `wait` seconds while
+  nothing changes.
   """
 
   def __init__(
@@ -97,15 +109,20 @@
     self.regained_at = float('-inf')
     self._attempt_started_at = float('-inf')
     self._had_contact = False
+    # Whether the next contact ends an outage, rather than being the first one.
     self._lost_contact = False
     self._row_by_name: dict[str, rows.Row] = {}
     self._tombstone_by_name: dict[str, rows.Row] = {}
+    # Oldest version after which all removals are remembered.
     self._history_from = 0
 
   # --- From the store -------------------------------------------------------
 
   async def read(self) -> None:
-    """Reads the whole table from the store."""
+    """Reads the whole table from the store.
+
+    Raises `WoadrunError` if the store does not respond.
+    """
     began = time.monotonic()
     page = await read_all(self._store, self.table, '')
     self._record_contact()
@@ -115,7 +132,7 @@
       self.on_change()
 
   async def refresh(self) -> None:
-    """Brings the table up to date.
+    """Brings the table up to date from the store.
 
     Raises `WoadrunError` if the store does not respond.
     """
@@ -132,6 +149,8 @@
     needs_list = True
     while not self.should_stop:
       if self.version is not None and not self.leads():
+        # The changes come from peers.  If this daemon follows the store later,
+        # it needs only the changes after the known version.
         needs_list = False
         await ticks.sleep(LEADER_CHECK_INTERVAL_SECONDS)
         continue
@@ -158,14 +177,19 @@
 
   async def _follow_once(self) -> None:
     # After a loss of contact, the first response should not wait for a change:
-    # it sets `regained_at`, from which the grace period of rows that expired in
-    # the outage is counted.
+    # it sets `regained_at`.  Rows that expired in the outage are kept for a
+    # grace period that begins at that time.
     wait = FIRST_WAIT_SECONDS if self.is_lost else self._wait
     if await self._read_changes(wait=wait):
       await asyncio.sleep(BATCH_DELAY_SECONDS)
 
   async def _read_changes(self, *, wait: float) -> bool:
-    """Returns whether the store sent any change."""
+    """Reads the changes after the known version, and applies them.
+
+    Waits for the first change for at most `wait` seconds.  Returns whether the
+    store sent any change.  Raises `HistoryGone` if the store no longer has the
+    history since that version.
+    """
     began = time.monotonic()
     known = self.version or 0
     page = await self._store.follow(self.table, after=known, wait=wait)
@@ -181,8 +205,8 @@
       return
     self.is_lost = False
     # The first contact of a daemon that has just started is not the end of an
-    # outage.  When it counted as one, all daemons kept entries that were
-    # removed at that moment for the grace period that follows an outage.
+    # outage.  When it counted as one, entries that were removed at that moment
+    # stayed in use at all daemons, for the grace period that follows an outage.
     if self._lost_contact:
       self.regained_at = self._attempt_started_at
     self._lost_contact = False
@@ -208,7 +232,8 @@
   def find_changes(self, after: int | None) -> Changes | None:
     """Returns the changes after a version, None before the first list.
 
-    Returns all rows if `after` is None or older than the remembered history.
+    The result includes tombstones of removed rows.  It has all rows instead,
+    with `is_list` set, if `after` is None or older than the remembered history.
     """
     if self.version is None:
       return None
@@ -232,7 +257,10 @@
     )
 
   def take_changes(self, changes: Changes) -> bool:
-    """Applies changes from another daemon; returns whether any are new."""
+    """Applies changes from another daemon; returns whether any are new.
+
+    `changes` must include all changes after the version known to this daemon.
+    """
     # A daemon that starts during an outage learns of the outage from the first
     # peer that sends it a list.
     self._lost_contact |= self.version is None and changes.is_lost
@@ -246,6 +274,10 @@
   # --- Known rows -----------------------------------------------------------
 
   def _apply_list(self, found: tuple[rows.Row, ...], version: int) -> bool:
+    """Applies a full list; returns whether it has new changes.
+
+    A list older than the known version is ignored.
+    """
     if self.version is not None and version < self.version:
       log.info(
         'Ignored an outdated list of %s: version %d is older than %d.',
@@ -264,7 +296,8 @@
 
     Only rows that differ count as changed.  When all rows of a list counted,
     after the store had discarded its history, all daemons fetched whole tables
-    from each other, and hubs with slow links delivered a routing table late.
+    from each other.  Hubs, the members that relay heartbeats for their failure
+    domain, then delivered a routing table late if their links were slow.
     """
     if self.version is None:
       self._row_by_name = {row.key.name: packing.pack(row) for row in found}
@@ -284,6 +317,7 @@
     return bool(newer or removed)
 
   def _apply_rows(self, found: tuple[rows.Row, ...], version: int) -> bool:
+    """Applies changes; returns whether any is newer than the known version."""
     known = self.version or 0
     newer = [row for row in found if row.version > known]
     for row in newer:
@@ -307,7 +341,11 @@
 
 
 async def read_all(store: rows.RowStore, table: str, part: str) -> rows.Page:
-  """Returns all rows of a part, reading page by page."""
+  """Returns all rows of a part, reading page by page.
+
+  The version of the result is that of the last page.  Raises `WoadrunError` if
+  the store does not respond.
+  """
   found: list[rows.Row] = []
   first = ''
   while True:
--- a/src/woadrun/process/fleet.py
+++ b/src/woadrun/process/fleet.py
@@ -4,6 +4,18 @@
 daemon sends to all others, and suspects a member whose heartbeats stop.  In a
 large fleet members send heartbeats to the hubs of their domain only, and learn
 the state of other members from the digests of the hubs.
+
+A failure domain (domain) is a group of VMs that may be cut off from the others
+together.  The hubs are two members of a domain chosen by rank; a digest
+summarizes the heartbeats that a hub has received from its domain.  The store is
+the platform's row store, which holds a row for each member.  A daemon follows
+that table through a feed, directly or through its peers.
+
+A program is a client's series of calls; its turns are the calls that generate
+tokens.  The tokens are taken from the budget of the program, and those taken so
+far are its spending.  A program belongs to one domain, its home domain.  One
+member there, its owner, decides on its turns; another one, its standby, keeps a
+copy of these decisions.
 """
 
 from __future__ import annotations
@@ -28,29 +40,32 @@
 
 log = logging.getLogger('woadrun.fleet')
 
+# Table of the row store with one row for each registered member.
 TABLE = 'members'
 # Interval between two heartbeats to one peer, in seconds.
 HEARTBEAT_INTERVAL_SECONDS = 0.25
 SUSPECT_TIMEOUT_SECONDS = hubs.SUSPECT_TIMEOUT_SECONDS
 # Number of heartbeats between two checks of all members for silence.  The
-# results are used to remove rows and to write log lines, which may take
-# seconds.
+# results are used only to remove rows and to write log lines, which may be
+# seconds late.
 HEARTBEATS_PER_SILENCE_CHECK = 2
 # Time for which the merged view of heartbeats and digests is cached, in
-# seconds.  Each request needs the view several times.
+# seconds.  Each request to this daemon needs the view several times.
 VIEW_TTL_SECONDS = 0.05
 # Timeout for the first heartbeat of a member that is new in the list, in
-# seconds.  The member learns of this daemon by the same feed.
+# seconds.  The member learns of this daemon from the feed of the same table.
 FIRST_HEARTBEAT_TIMEOUT_SECONDS = 2.0
 # Time after which a daemon of a large fleet that hears nothing of its own
-# domain considers itself cut off, in seconds.  It takes less time to find new
-# hubs after both hubs are lost.
+# domain considers itself cut off, in seconds: it then presumes the other
+# members of its domain dead.  Finding new hubs after the loss of both takes
+# less than this time.
 OWN_DOMAIN_TIMEOUT_SECONDS = 2.0
 # Time for which a peer counts as failed after a message to it failed, in
 # seconds.
 FAILURE_TTL_SECONDS = 0.5
-# Largest fleet in which each daemon sends heartbeats to all others; in larger
-# fleets, heartbeats go through hubs.
+# Largest fleet in which each daemon sends heartbeats to all others.  In larger
+# fleets heartbeats go through hubs, since the number of datagrams would grow
+# with the square of the number of members.
 FULL_MESH_MAX_MEMBERS = 24
 
 
@@ -58,8 +73,9 @@
   """All members of the fleet, including this daemon.
 
   `make_beat` returns the next heartbeat of this daemon.  `on_beat` is called
-  with each heartbeat received, `on_digest` with each new digest, including the
-  digests that this daemon makes as a hub.
+  with each heartbeat received, `on_digest` with each digest that is newer than
+  the last one of its hub, including those that this daemon makes as a hub.
+  `heard_by_name` has the last heartbeat of each peer that sent one.
   """
 
   def __init__(
@@ -98,15 +114,22 @@
   def is_mesh(self) -> bool:
     """Whether each daemon sends heartbeats to all others.
 
-    A daemon that starts in a large fleet while the store is unavailable knows
-    few members.  The arrival of digests shows it that the fleet is large.
+    It is False if many members are known, and while digests arrive: a daemon
+    that starts in a large fleet while the store is unavailable knows few
+    members, and the digests show it that the fleet is large.
     """
     if len(self.member_by_name) > FULL_MESH_MAX_MEMBERS:
       return False
     return time.monotonic() - self._last_digest_at >= hubs.DIGEST_TTL_SECONDS
 
   def is_alive(self, name: str) -> bool:
-    """Returns whether a member is presumed alive."""
+    """Returns whether a member is presumed alive.
+
+    That is so if no message to it failed within FAILURE_TTL_SECONDS, and it was
+    heard within the suspect timeout or is new.  In a large fleet, a member that
+    was not heard is also presumed alive if its domain is heard and the digests
+    do not report it silent.  This daemon itself always counts as alive.
+    """
     if name == self.me.name:
       return True
     now = time.monotonic()
@@ -115,6 +138,10 @@
     return self._is_presumed_alive(name, now)
 
   def _is_presumed_alive(self, name: str, now: float) -> bool:
+    """Returns whether a member is presumed alive, ignoring failed messages.
+
+    A name for which no time of addition is known counts as new.
+    """
     heard = self.heard_by_name.get(name)
     if heard is not None and now - heard.at < SUSPECT_TIMEOUT_SECONDS:
       return True
@@ -132,8 +159,9 @@
     view = self._get_view()
     if member.name in view.silent or self.is_silent(member.domain):
       return False
-    # While the hubs of its own domain are lost, a daemon presumes the members
-    # of that domain alive, until it considers itself cut off.
+    # While the hubs of its own domain are lost, a daemon hears nothing of that
+    # domain.  It presumes the domain's members alive until it considers itself
+    # cut off.
     heard_at = self._heard_at_by_domain.get(self.me.domain, -math.inf)
     return (
       member.domain != self.me.domain
@@ -143,7 +171,9 @@
   def is_silent(self, domain: str) -> bool:
     """Returns whether nothing is heard of another domain.
 
-    The result is False for the own domain.
+    The result is False for the own domain, for a domain without known members,
+    and while all members of the domain are so new that their first heartbeats
+    may not have arrived yet.
     """
     if domain == self.me.domain:
       return False
@@ -186,7 +216,7 @@
 
   @property
   def is_isolated(self) -> bool:
-    """Whether no other member is alive, though the own domain has others.
+    """Whether no other member is alive, though others of the domain are known.
 
     A daemon that hears other domains is not cut off: in that case the other
     members of its own domain are dead.
@@ -206,7 +236,8 @@
 
     These are the domains that are silent, that were silent until recently, that
     do not hear this domain, or that have not yet written all their spending to
-    the store.
+    the store.  A daemon that has just started adds the domains that its peers
+    report as silent.
     """
     view = self._get_view()
     reported = view.owing | view.deaf
@@ -221,9 +252,11 @@
   def _get_reported_at(self, domain: str, since: float) -> float:
     """Returns a time since which each live member of a domain has reported.
 
-    A member that has sent nothing for the suspect timeout since the domain
-    returned, at `since`, is ignored as dead: its standby holds its decisions
-    and reports them.
+    The result is -inf if there is no such time yet.  `since` is the time at
+    which the domain was heard again.  In a small fleet, once the suspect
+    timeout has passed since then, members that were not heard within the
+    suspect timeout are ignored as dead: the standby of such a member holds its
+    decisions and reports them.
     """
     if not self.is_mesh:
       return self._hubs.get_reported_at(domain)
@@ -242,10 +275,11 @@
   def is_settled(self) -> bool:
     """Whether no member may hold data that the store lacks.
 
-    This requires that each domain is heard and reports that it holds none.  A
-    single silent member is ignored: its standby holds what this member decided
-    without the store, and reports it.  If single members counted, each new
-    program would ask the store and two other daemons during a rolling restart.
+    This requires that each domain is heard and reports that it holds no such
+    data.  A single silent member is ignored: its standby holds what this member
+    decided without the store, and reports it.  If single members counted, the
+    start of each program during a rolling restart would need queries to the
+    store and to two other daemons.
     """
     return (
       not self._get_view().behind
@@ -256,9 +290,9 @@
   def _has_unreported_member(self) -> bool:
     """Returns whether a recently added member has not reported its state yet.
 
-    Without this check, a daemon that joined after an outage, and had heard no
-    other member, relied on the store alone and missed spending that its standby
-    had granted.
+    Without this check, a daemon that joined after an outage of the store, and
+    had heard no other member, relied on the store alone and missed spending
+    that its standby had granted.
     """
     now = time.monotonic()
     if now - self._last_added_at >= FIRST_HEARTBEAT_TIMEOUT_SECONDS:
@@ -273,7 +307,8 @@
   def get_silence(self) -> float:
     """Returns how long ago a silent domain was last heard, in seconds.
 
-    The result is 0 if no domain is silent, and the longest time if several are.
+    The result is the longest time if several domains are silent.  It is 0 if no
+    domain is silent, or none of the silent domains was ever heard.
     """
     now = time.monotonic()
     heard_at = self._heard_at_by_domain
@@ -281,17 +316,27 @@
     return max(lasting, default=0.0)
 
   def get_silent_seconds(self) -> dict[str, float]:
-    """Returns for how long each silent member is silent, in seconds by name."""
+    """Returns for how long each member has counted as silent, by name.
+
+    The time is in seconds since a check first found the member silent, which is
+    later than its last heartbeat.  Members that are not silent are left out.
+    """
     now = time.monotonic()
     return {name: now - since for name, since in self._silent_since.items()}
 
   def note_failure(self, name: str) -> None:
-    """Treats a member as failed for a while, since a message to it failed."""
+    """Records a failed message to a member.
+
+    The member counts as failed for FAILURE_TTL_SECONDS.
+    """
     self._failed_until[name] = time.monotonic() + FAILURE_TTL_SECONDS
     self._forget_view()
 
   def rank(self, key: str, domain: str) -> list[beats.Member]:
-    """Returns a domain's members alive and not leaving, ranked for a key."""
+    """Returns a domain's members alive and not leaving, ranked for a key.
+
+    The ranking is by rendezvous hashing, the highest weight first.
+    """
     return self._members.rank(key, domain, self._find_eligible(domain))
 
   def _find_eligible(self, domain: str) -> list[beats.Member]:
@@ -323,7 +368,8 @@
     """Returns the keys for which this daemon ranks first in the whole fleet.
 
     A key is assigned to a domain first and then to a member of that domain, so
-    that not every key is hashed with each of hundreds of members.
+    that not every key is hashed with each of hundreds of members.  Unlike in
+    `rank`, members that are leaving take part.
     """
     alive_by_domain = {
       domain: [
@@ -333,13 +379,13 @@
     }
     domains = [domain for domain, names in alive_by_domain.items() if names]
     mine = self.me.domain
-    keys_of_domain = (
+    keys_of_own_domain = (
       key for key in keys if _find_first_ranked(key, domains) == mine
     )
     names = alive_by_domain[mine]
     return [
       key
-      for key in keys_of_domain
+      for key in keys_of_own_domain
       if _find_first_ranked(key, names) == self.me.name
     ]
 
@@ -349,7 +395,11 @@
     return self._hubs.is_hub
 
   def may_have_store(self, name: str) -> bool:
-    """Returns False if a peer is known to have no access to the store."""
+    """Returns whether a peer may have access to the store.
+
+    The result is False only if the peer's heartbeats or all digests of its
+    domain report that it has none.
+    """
     return name not in self._get_view().storeless
 
   def has_one_with_store(self) -> bool:
@@ -383,6 +433,11 @@
     )
 
   def _has_report_of(self, name: str) -> bool:
+    """Returns whether a known member's state was ever received.
+
+    The state comes from the member itself or, in a large fleet, from a digest
+    of its domain.  The result is False for this daemon.
+    """
     if name == self.me.name:
       return False
     if name in self.heard_by_name:
@@ -396,7 +451,11 @@
     return name in self._get_view().leaving
 
   def add(self, member: beats.Member) -> None:
-    """Adds a member, or updates its address or domain."""
+    """Adds a member, or updates its address or domain.
+
+    A member with a new address or domain counts as new: its last heartbeat is
+    discarded.
+    """
     if self._members.add(member):
       log.info('Added member %s at %s.', member.name, member.address)
       self.heard_by_name.pop(member.name, None)
@@ -405,7 +464,7 @@
       self._forget_view()
 
   def forget(self, name: str) -> None:
-    """Removes a member that is no longer registered."""
+    """Removes a member that is no longer registered, except this daemon."""
     if name == self.me.name:
       return
     self._members.forget(name)
@@ -443,7 +502,13 @@
   def plan_heartbeats(self) -> list[tuple[beats.Beat, list[beats.Member]]]:
     """Returns the heartbeats that are due, each with its receivers.
 
-    A hub calls `on_digest` with the digest that it makes.
+    In a small fleet one heartbeat goes to all others.  In a large fleet one
+    goes to the hubs of the own domain, one with the newest digests to the
+    members that receive digests from this daemon, and, if this daemon is a hub,
+    one with the digest of its domain to the hubs of other domains.  The last
+    two leave out this daemon's own counts of requests and failures, since the
+    digests of hubs include them.  A hub calls `on_digest` with the digest that
+    it makes.
     """
     mine = self._make_beat()
     if self.is_mesh:
@@ -473,7 +538,10 @@
     return plan
 
   def _find_expected(self) -> list[beats.Member]:
-    """Returns the own domain's members whose first heartbeat is due."""
+    """Returns the own domain's members that must have sent a heartbeat by now.
+
+    Members that were added only a moment ago are left out.
+    """
     now = time.monotonic()
     return [
       member
@@ -485,6 +553,12 @@
   def _find_digest_receivers(
     self, chosen: list[beats.Member]
   ) -> list[beats.Member]:
+    """Returns the members to which this daemon sends digests.
+
+    These are the members that request them, without the hubs in `chosen`.  A
+    hub adds some silent members of its domain, which may have restarted while
+    the store is unavailable and know no hub.
+    """
     requesters = hubs.find_requesters(self.heard_by_name, time.monotonic())
     found = [
       self.member_by_name[name]
@@ -551,6 +625,7 @@
       self._on_digest(digest)
 
   def _record_domain_heard(self, domain: str, at: float) -> None:
+    """Records that a domain was heard, and whether that ends its silence."""
     known = self._heard_at_by_domain.get(domain, at)
     if domain != self.me.domain and at - known >= self._get_silence_timeout():
       self._returning_domains.record(domain, now=time.monotonic())
--- a/src/woadrun/process/hubs.py
+++ b/src/woadrun/process/hubs.py
@@ -3,6 +3,16 @@
 If all daemons sent heartbeats to all others, the number of datagrams would grow
 with the square of the fleet.  In large fleets each daemon sends heartbeats only
 to the hubs of its own domain; the hubs answer with digests of all domains.
+
+A failure domain (domain) is a group of VMs that may be cut off from the others
+together.  Its hubs are ordinary members, chosen by rank.  A digest summarizes
+the heartbeats that a hub received from the members of its domain; its fields
+are documented in `beats.Digest`.  Counts are the requests in progress and the
+recent failures at each upstream instance.  A turn is a call of a client's
+program that generates tokens.
+
+Times are on the monotonic clock of this daemon, except where a digest carries
+an age.
 """
 
 from __future__ import annotations
@@ -24,15 +34,16 @@
 # Number of hubs of each domain, so that one hub remains if the other is lost.
 HUBS_PER_DOMAIN = 2
 # Time without a heartbeat after which a peer is suspected, in seconds.  It
-# allows for three lost datagrams in a row and a late timer.
+# allows for three lost datagrams in a row, sent every 0.25 s, and a late timer.
 SUSPECT_TIMEOUT_SECONDS = 0.9
 # Time for which a digest is valid after it was made, in seconds: the suspect
-# timeout, and one heartbeat interval at each of the two hubs that relay it.
+# timeout, and one heartbeat interval of 0.25 s at each of the two hubs that
+# relay it.
 DIGEST_TTL_SECONDS = 1.4
 # Delay before a hub that did not answer may be chosen again, in seconds.
 HUB_RETRY_DELAY_SECONDS = 3.0
-# Maximum number of cached weights.  Each turn and each heartbeat needs the
-# weights of a whole domain several times.
+# Maximum number of cached results of `weigh`.  Each turn and each heartbeat
+# needs the weights of a whole domain several times.
 MAX_CACHED_WEIGHTS = 16_384
 # Maximum number of silent members of its own domain that a hub sends to in each
 # heartbeat interval.  A member that restarted while the store is unavailable
@@ -45,10 +56,12 @@
 
   def __init__(self, *, me: beats.Member) -> None:
     self._me = me
+    # The newest digest of each hub, and the time at which it was made.
     self._digest_by_hub: dict[str, tuple[beats.Digest, float]] = {}
     self._chosen_since: dict[str, float] = {}
     self._skipped_until: dict[str, float] = {}
     self._hub_since: float | None = None
+    # Counts the choices that rotate through members.
     self._rotation = 0
 
   @property
@@ -67,9 +80,9 @@
   ) -> list[beats.Member]:
     """Returns the hubs among the members of the own domain.
 
-    Members that do not answer, members that are leaving, and members in
-    `silent` that were not heard recently, as reported by other hubs, are
-    skipped.  This daemon itself is never skipped.
+    These are the first HUBS_PER_DOMAIN members by rank that may answer.
+    `silent` has the members that the digests report as silent.  This daemon
+    itself is never skipped.
     """
     now = time.monotonic()
     ranked = sorted(members, key=lambda m: weigh(m.name, 'hub'), reverse=True)
@@ -94,6 +107,13 @@
     silent: Container[str],
     now: float,
   ) -> bool:
+    """Returns whether a member may be a hub.
+
+    A member heard within the suspect timeout may, unless it is leaving.  Any
+    other member may not if it is in `silent`, or if it did not answer within
+    the suspect timeout after it was chosen; it is then skipped for
+    HUB_RETRY_DELAY_SECONDS.
+    """
     heard = heard_by_name.get(member.name)
     if heard is not None and now - heard.at < SUSPECT_TIMEOUT_SECONDS:
       return not heard.beat.is_leaving
@@ -111,8 +131,10 @@
   ) -> list[beats.Member]:
     """Returns the members of another domain to send digests to.
 
-    These are its hubs, given its live members.  If the domain is silent its
-    hubs may be lost, so the result rotates through the members.
+    `members` has the live members of the domain, or all of them if the domain
+    is silent.  The result has the hubs of the domain.  If the domain is silent
+    its hubs may be lost, so the result rotates through the members; it then
+    names a member twice if there is only one.
     """
     ranked = sorted(members, key=lambda m: weigh(m.name, 'hub'), reverse=True)
     if not is_silent or not ranked:
@@ -125,7 +147,8 @@
   def choose_silent(self, silent: list[beats.Member]) -> list[beats.Member]:
     """Returns the silent members to send to in this heartbeat interval.
 
-    If there are too many, the result rotates through them.
+    If there are more than MAX_SILENT_RECEIVERS, the result rotates through
+    them.
     """
     if len(silent) <= MAX_SILENT_RECEIVERS:
       return silent
@@ -145,9 +168,11 @@
   ) -> beats.Digest | None:
     """Returns the digest of the own domain, or None if this is no hub.
 
-    This daemon is a hub if it chose itself, as `is_hub` says, and other members
-    request digests from it.  A daemon that only itself considers a hub receives
-    no heartbeats, from which it must not conclude that the others are silent.
+    `mine` is the heartbeat of this daemon, `members` the members expected to
+    have sent heartbeats.  This daemon is a hub if it chose itself, as `is_hub`
+    says, and other members request digests from it.  A daemon that only itself
+    considers a hub receives no heartbeats and must not conclude from this that
+    the others are silent.
     """
     now = time.monotonic()
     if not is_hub or not find_requesters(heard_by_name, now):
@@ -164,6 +189,8 @@
       and now - found.at < SUSPECT_TIMEOUT_SECONDS
     }
     sources = [mine, *(found.beat for found in heard.values())]
+    # A new hub may not have received the heartbeats of all live members yet, so
+    # that it calls none silent.
     is_settled = now - self._hub_since >= SUSPECT_TIMEOUT_SECONDS
     silent = [
       m.name
@@ -222,12 +249,15 @@
     return known[0]
 
   def find_fresh(self) -> list[beats.Digest]:
-    """Returns all valid digests."""
+    """Returns all valid digests, at most one of each hub."""
     self._drop_expired()
     return [digest for digest, _ in self._digest_by_hub.values()]
 
   def get_reported_at(self, domain: str) -> float:
-    """Returns a time since which each live member of a domain has reported."""
+    """Returns a time since which each live member of a domain has reported.
+
+    The result is -inf if no digest of the domain includes all its live members.
+    """
     reported_at = (
       made_at - digest.oldest
       for digest, made_at in self._digest_by_hub.values()
@@ -246,10 +276,10 @@
   def make_answer(self, mine: beats.Beat) -> beats.Beat:
     """Returns the heartbeat with which a hub answers a request for digests.
 
-    It holds the newest digest of each domain.  Only the first-ranked hub that
-    is heard includes counts: those of the own domain in its digest, and the
-    requests in all other domains as a sum.  Counts are the largest part of what
-    a member receives, so that only one hub sends them.
+    It holds the newest digest of each domain.  Only the highest-ranked hub of
+    the own domain includes counts: those of the own domain in its digest, and
+    the requests in progress in all other domains as a sum.  Counts are the
+    largest part of what a member receives, so that only one hub sends them.
     """
     newest = self._find_newest()
     sends_counts = self._sends_counts()
@@ -283,7 +313,11 @@
     return relayed
 
   def _sends_counts(self) -> bool:
-    """Returns whether no live hub of the own domain ranks higher than this."""
+    """Returns whether this daemon is the one hub that sends counts.
+
+    That is so unless a digest made within the suspect timeout comes from a hub
+    of the own domain that ranks higher.
+    """
     now = time.monotonic()
     return not any(
       digest.domain == self._me.domain
@@ -293,6 +327,7 @@
     )
 
   def _find_newest(self) -> dict[str, tuple[beats.Digest, float]]:
+    """Returns the newest valid digest of each domain, and when it was made."""
     newest: dict[str, tuple[beats.Digest, float]] = {}
     self._drop_expired()
     for digest, made_at in self._digest_by_hub.values():
@@ -305,7 +340,10 @@
 def find_requesters(
   heard_by_name: dict[str, beats.LastHeartbeat], now: float
 ) -> list[str]:
-  """Returns the names of the peers that recently requested digests."""
+  """Returns the names of the peers whose last heartbeat requests digests.
+
+  Heartbeats older than the suspect timeout are ignored.
+  """
   return [
     name
     for name, heard in heard_by_name.items()
@@ -315,11 +353,16 @@
 
 @functools.lru_cache(maxsize=MAX_CACHED_WEIGHTS)
 def weigh(name: str, key: str) -> bytes:
-  """Returns the weight of a member for a key, for rendezvous hashing."""
+  """Returns the weight of a member for a key, for rendezvous hashing.
+
+  The member with the greatest weight ranks first.  `name` may also be the name
+  of a domain.
+  """
   return hashlib.blake2b(f'{name} {key}'.encode(), digest_size=8).digest()
 
 
 def _sum_counts(counts: Iterable[dict[str, Number]]) -> dict[str, Number]:
+  """Returns the sums of counts by instance."""
   total: dict[str, Number] = {}
   for each in counts:
     for id, number in each.items():
--- a/src/woadrun/process/loads.py
+++ b/src/woadrun/process/loads.py
@@ -1,10 +1,17 @@
-"""Load and speed of each instance, and the choice of one for a request.
+"""Load and speed of each upstream instance, and the choice of one.
 
-State is keyed by the life of an instance: an instance that restarts under the
-same id inherits nothing from its earlier life.
+An instance is one incarnation of an upstream: an inference engine, or another
+service that programs call.  State is keyed by `Instance.life`, the id with the
+start time: an instance that restarts under the same id inherits nothing.  The
+parameters named `id` and the keys named `life` in this module are such keys.
 
-Each daemon counts its own requests and receives the counts of the others in
-their datagrams, so that no instance has to be polled.
+A turn is a request that generates tokens at an engine; the turns of a program
+share the beginning of their prompts.  A slot is one request that an instance
+can run at a time.
+
+Each daemon counts its own requests in progress and receives the counts of the
+others in their heartbeats, or in large fleets in the digests of hubs, which sum
+them by failure domain.  Therefore no instance has to be polled.
 """
 
 from __future__ import annotations
@@ -39,28 +46,28 @@
 # current engines.
 PREFILL_TOKENS_PER_SECOND = 40_000.0
 # Time that a running turn adds to another turn at the same engine: the next
-# prompts of its program are processed there as well, and its tokens slow down
-# each decoding step.
+# prompts of the running turn's program are processed there as well, and its
+# tokens slow down each decoding step.
 TURN_COST_SECONDS = 0.01
 # Many programs share the first part of their prompts.  An engine is assumed to
 # keep that part in its cache for this long after it was sent there: engines
 # retain the prefixes that are in use.
 SHARED_PREFIX_TTL_SECONDS = 5.0
-# Time that each recent failure of an instance adds to the time expected there.
-# The failure of a call that must not be repeated ends its program, whose calls
-# together take some ten times as long.
+# Time that each recent failure of an instance adds to the time expected for a
+# request there.  The failure of a call that must not be repeated ends its
+# program, whose calls together take some ten times as long.
 FAILURE_PENALTY_SECONDS = 0.5
 # Upper limit of the random time added to each estimate, so that daemons that
 # choose at the same moment do not all choose the same instance.  It equals the
 # time that two running turns add.
 JITTER_SECONDS = 0.02
 # Extra time of a request to an instance without an idle connection: the
-# handshake, and the slot that a new connection may occupy meanwhile.  It
-# exceeds the jitter, so that an idle connection decides between instances that
-# are otherwise equal.
+# handshake, and the slot of the instance that a new connection may occupy
+# during the handshake.  It exceeds the jitter, so that an idle connection
+# decides between instances that are otherwise equal.
 CONNECT_COST_SECONDS = 0.025
 # Time after a request for which its connection counts as idle and reusable; the
-# connection is closed a little later.
+# HTTP client closes the connection a little later.
 IDLE_CONNECTION_TTL_SECONDS = 3.5
 
 
@@ -68,9 +75,10 @@
 class Load:
   """What this daemon knows of one instance.
 
-  `running` counts this daemon's requests, `seconds` is the moving average of
-  their durations.  `idle_since` holds the time from which each idle connection
-  has been idle, the newest last.
+  `running` counts this daemon's requests in progress, `seconds` is the moving
+  average of the durations of its requests.  `idle_since` holds the time from
+  which each idle connection has been idle, the newest last.  Times are on the
+  monotonic clock.
   """
 
   running: int = 0
@@ -89,8 +97,9 @@
 class Loads:
   """The load of all instances.
 
-  `domain` is this daemon's failure domain, `is_silent` tells whether a domain
-  is cut off.  `health` holds the failures of instances.
+  `domain` is this daemon's failure domain.  `is_silent` returns whether a
+  domain is cut off from this daemon.  `outcomes`, available as `health`, holds
+  the failures of instances.
   """
 
   def __init__(
@@ -106,6 +115,8 @@
     self._load_by_id: dict[str, Load] = {}
     self._mean_seconds_by_service: dict[str, float] = {}
     self._last_sent: dict[str, int] = {}
+    # The time of the counts and the counts by instance, for each peer; also for
+    # each domain with a digest, and for the sum of all other domains.
     self._counts_by_peer: dict[str, tuple[float, dict[str, int]]] = {}
     self._prefix_sent_at: dict[tuple[str, str], float] = {}
     self._holder_by_prefix: dict[str, str] = {}
@@ -113,13 +124,16 @@
     self._idle_lives: dict[str, None] = {}
 
   def get_running(self) -> dict[str, int]:
-    """Returns the number of this daemon's requests by instance."""
+    """Returns the number of this daemon's requests in progress, by instance.
+
+    Instances without requests are left out.
+    """
     return {
       id: load.running for id, load in self._load_by_id.items() if load.running
     }
 
   def tell_running(self) -> dict[str, int]:
-    """Returns the numbers of `get_running` to send, and remembers them.
+    """Returns the counts of `get_running` for a heartbeat, and remembers them.
 
     `take_digest` subtracts them from the sums of the own domain.
     """
@@ -127,14 +141,18 @@
     return self._last_sent
 
   def take_beat(self, beat: beats.Beat) -> None:
-    """Stores the counts in a peer's datagram."""
+    """Stores the counts in a peer's heartbeat."""
     self._counts_by_peer[beat.name] = (time.monotonic(), beat.running)
     if beat.domain == self._domain:
-      # An instance may fail for the callers of a single domain only.
+      # An instance may fail for the callers of a single domain only, so that
+      # failures seen in other domains do not count here.
       self.health.take(beat.name, beat.failing)
 
   def take_digest(self, digest: beats.Digest) -> None:
-    """Stores the counts of a domain, summed over its members."""
+    """Stores the counts of a domain, summed over its members.
+
+    A digest without counts is ignored.
+    """
     if digest.running is None:
       return
     counts = dict(digest.running)
@@ -152,7 +170,10 @@
 
   @contextlib.contextmanager
   def count(self, id: str) -> Iterator[Load]:
-    """Returns a context that counts a request at an instance."""
+    """Returns a context that counts a request at an instance.
+
+    The request is assumed to take the connection that became idle last.
+    """
     load = self._load_by_id.setdefault(id, Load())
     load.running += 1
     if load.idle_since:
@@ -163,7 +184,7 @@
       load.running -= 1
 
   def note_rested(self, id: str) -> None:
-    """Records that the connection of a request can be reused."""
+    """Records that a request ended and left a connection that can be reused."""
     load = self._load_by_id.setdefault(id, Load())
     now = time.monotonic()
     load.idle_since = [
@@ -182,6 +203,11 @@
   def _count_shared_tokens(
     self, id: str, parts: Sequence[turn_messages.Part], now: float
   ) -> int:
+    """Returns the tokens of a prompt's first part if it is cached, else 0.
+
+    It is assumed to be in the cache of an instance for a while after this
+    daemon sent it there.
+    """
     if not parts:
       return 0
     at = self._prefix_sent_at.get((id, parts[0].id))
@@ -197,19 +223,23 @@
     self._mean_seconds_by_service[service] = mean
 
   def get_usual_seconds(self, service: str) -> float:
-    """Returns the average request time over all instances of a service."""
+    """Returns the moving average of request times over a whole service.
+
+    The result is INITIAL_ESTIMATE_SECONDS before the first request.
+    """
     return self._mean_seconds_by_service.get(service, INITIAL_ESTIMATE_SECONDS)
 
   def note_unreachable(self, id: str) -> None:
-    """Makes `choose` skip an instance for a short time."""
+    """Makes `choose` skip an instance for UNREACHABLE_BACKOFF_SECONDS."""
     load = self._load_by_id.setdefault(id, Load())
     load.unreachable_until = time.monotonic() + UNREACHABLE_BACKOFF_SECONDS
 
   def forget(self, known: Collection[str]) -> None:
-    """Drops the state of instances that are no longer known.
+    """Drops the state of all instances that are not in `known`.
 
-    `known` has the lives of the instances that are.  Expired prefixes and idle
-    connections are dropped as well.
+    `known` has the `life` of each known instance.  Instances with running
+    requests are kept.  Expired prefixes and idle connections are dropped as
+    well.
     """
     stale = [
       id
@@ -247,8 +277,14 @@
 
     Compared are the instances that hold the prompt in their cache, one that
     holds its shared first part, one with an idle connection, and two drawn at
-    random (`decisions/draws.py`).  `tried` has the lives to leave out, `prompt`
-    is in tokens, as are the values of `cached_by_id`.
+    random (`decisions/draws.py`).  If no instance is reachable, all that were
+    not tried yet are compared.  The result is also None if none of the compared
+    instances has a slot.
+
+    `tried` has the `life` of each instance to leave out.  `prompt` is the
+    length of the prompt in tokens, 0 for a request that is not a turn; `parts`
+    are the parts of the prompt.  `cached_by_id` has the number of its tokens
+    that are in the cache of an instance.
     """
     now = time.monotonic()
     cached_by_id = cached_by_id or {}
@@ -296,10 +332,10 @@
     group: instances.Group,
     is_fit: Callable[[instances.Instance], bool],
   ) -> list[instances.Instance]:
-    """Returns instances drawn at random.
+    """Returns up to two instances drawn at random from those that are fit.
 
-    If one of the drawn instances has failed recently, instances without
-    failures are drawn as well.
+    If one of the drawn instances has failed recently, up to two instances
+    without failures are drawn as well.
     """
     near = group.find_near(self._domain)
     drawn = draws.draw(near, group.all, is_fit=is_fit, pick=random.choice)
@@ -315,8 +351,9 @@
   def _is_reachable(self, item: instances.Instance, now: float) -> bool:
     """Returns whether an instance is believed to be reachable.
 
-    A request to a domain that is cut off waits until its deadline: it may have
-    run there and is not sent again.
+    Instances in a domain that is cut off do not count as reachable: a request
+    sent there waits until its deadline, since it may have run there and is
+    therefore not sent to another instance.
     """
     is_backing_off = self._get(item.life).unreachable_until > now
     return not is_backing_off and not self._is_silent(item.domain)
@@ -324,25 +361,35 @@
   def _find_prefix_holder(
     self, parts: Sequence[turn_messages.Part], now: float
   ) -> list[str]:
-    """Returns the instance that last received the prompt's first part."""
+    """Returns the instance that last received the prompt's first part.
+
+    The list is empty if none received it recently.
+    """
     known = self._holder_by_prefix.get(parts[0].id) if parts else None
     if known is None or self._count_shared_tokens(known, parts, now) == 0:
       return []
     return [known]
 
   def _find_idle(self, group: instances.Group, now: float) -> list[str]:
-    """Returns the group's last used instance with an idle connection."""
+    """Returns the group's last used instance with an idle connection.
+
+    The list is empty if there is none.
+    """
     for life in reversed(self._idle_lives):
       if life in group.by_life and self._get(life).has_idle_connection(now):
         return [life]
     return []
 
   def get_total(self, id: str) -> int:
-    """Returns the number of requests of all daemons at an instance."""
+    """Returns the requests of all daemons in progress at an instance."""
     return self._get(id).running + self._count_others(id, time.monotonic())
 
   def estimate_return(self, group: instances.Group) -> float:
-    """Returns the seconds until a rejected request should find a free slot."""
+    """Returns the seconds until a rejected request should find a free slot.
+
+    `retry_after.estimate` limits the result; for a group without instances it
+    is the upper limit.
+    """
     running = sum(self.get_total(item.life) for item in group.all)
     seconds = [self._get(item.life).seconds for item in group.all]
     return retry_after.estimate(
@@ -355,7 +402,11 @@
     return self._load_by_id.get(id) or Load()
 
   def _count_others(self, id: str, now: float) -> int:
-    """Returns the number of other daemons' requests at an instance."""
+    """Returns the number of other daemons' requests at an instance.
+
+    The counts of a domain may be negative: they are older than the own requests
+    that `take_digest` subtracts.
+    """
     return sum(
       max(0, counts.get(id, 0))
       for at, counts in self._counts_by_peer.values()
@@ -371,6 +422,12 @@
     added: float,
     now: float,
   ) -> routing.Candidate:
+    """Returns the properties of an instance that `routing.choose` compares.
+
+    `risk` is the time expected to be lost by failures, in seconds, `cached` the
+    tokens of the prompt in the instance's cache.  `added` is the time in
+    seconds that each running turn adds, 0 for a request that is not a turn.
+    """
     load = self._get(item.life)
     # The duration of a turn depends on the load of its engine, which `added`
     # accounts for; the measured average would count that load twice.
--- a/src/woadrun/process/store_access.py
+++ b/src/woadrun/process/store_access.py
@@ -1,7 +1,13 @@
 """Access of one daemon to the row store, directly or relayed by a peer.
 
-The store may refuse single VMs while it serves the others.  A peer that the
-store serves then relays the calls of a refused VM.
+The row store (the store) is the platform's transactional table service.  It may
+refuse single VMs while it serves the others.  A peer, which is a daemon on
+another VM, then relays the calls of a refused VM.
+
+A turn is a call of a client's program that generates tokens; its end is written
+to the store.  One daemon, the owner of the program, decides on its turns, and
+another one, the standby, keeps a copy of these decisions.  A feed follows the
+changes of one table.
 """
 
 from __future__ import annotations
@@ -35,19 +41,21 @@
 
 T = TypeVar('T', rows.Page, rows.Outcome)
 
-# A write that takes longer than this delays a turn more than the standby does.
-# A healthy store takes a tenth of this time.
+# Duration of a write above which the store counts as slow: a turn then waits
+# longer for the store than for the acknowledgement of a standby.  A healthy
+# store takes a tenth of this time.
 SLOW_WRITE_SECONDS = 0.1
-# Age of an unanswered write from which the store counts as unresponsive, before
-# the write times out, for operations that can go on without the store: when the
-# store stopped responding, callers cancelled turns that waited for longer.
+# Age of an unanswered write from which the store counts as unresponsive, for
+# operations that can go on without the store.  It is less than the timeout of a
+# write: when the store stopped responding, callers cancelled turns that waited
+# for longer than this.
 STALLED_WRITE_SECONDS = 0.3
 # Weight of the newest write in the moving average of write times.
 EWMA_WEIGHT = 0.3
 # Interval between probes of whether the store serves this VM again.
 PROBE_INTERVAL_SECONDS = 0.25
 # Timeout of a probe: a store that responds more slowly would delay each turn by
-# more than the duration of a turn.
+# more time than the turn itself takes.
 PROBE_TIMEOUT_SECONDS = 0.6
 # Range of the delay before a call that exceeded the store's rate limit is
 # retried, drawn uniformly so that refused calls are not all retried at once.
@@ -58,21 +66,26 @@
 MAX_RELAYS = 2
 # Timeout of a relayed call: a peer that can reach the store responds within
 # some ten milliseconds.  When the store stops responding to all VMs, peers
-# still announce that they can reach it, and each such peer delays the ends of
-# turns by this timeout.
+# still announce that they can reach it, and each peer that is tried delays the
+# end of a turn by this timeout.
 RELAY_TIMEOUT_SECONDS = 0.4
 # Time for which no call is relayed after all tried peers failed, until the next
-# datagrams announce who can reach the store.
+# heartbeats announce who can reach the store.
 RELAY_BACKOFF_SECONDS = 0.5
-# Time for which a relayed call waits for changes of a feed.  The detection of
-# an unreachable peer is delayed by as much.
+# Maximum time for which a relayed call waits for changes of a feed.  The
+# detection of an unreachable peer is delayed by as much.
 RELAY_POLL_TIMEOUT_SECONDS = 0.5
 
 
 class StoreAccess(mode.Service):
-  """A row store whose calls are relayed by peers while it is unreachable.
+  """A row store whose calls go through peers while it refuses this VM.
 
-  `store_time` records the store's clock from its responses.
+  `direct` is the client of the store that uses no peer.  `store_time` records
+  the store's clock from its responses.  `is_direct` says whether the store
+  served the last direct call or probe; it is False until the first probe.
+
+  `change`, `read` and `follow` have the interface of `rows.RowStore`.  They
+  raise `WoadrunError` if neither the store nor a peer answers.
   """
 
   def __init__(
@@ -101,7 +114,11 @@
 
   @property
   def is_reached(self) -> bool:
-    """Whether the store can be reached now, directly or through a peer."""
+    """Whether the store can be reached now, directly or through a peer.
+
+    Peers do not count for RELAY_BACKOFF_SECONDS after they failed to relay a
+    call.
+    """
     if self.is_direct:
       return True
     if self._fleet is None or time.monotonic() < self._relay_backoff_until:
@@ -117,7 +134,10 @@
 
   @property
   def is_slow(self) -> bool:
-    """Whether a write now would delay a turn."""
+    """Whether a write now would probably take over SLOW_WRITE_SECONDS.
+
+    That is so if the average write took longer, or a running one already does.
+    """
     return (
       self._mean_write_seconds > SLOW_WRITE_SECONDS
       or self._get_oldest_write_age() > SLOW_WRITE_SECONDS
@@ -125,19 +145,29 @@
 
   @property
   def has_answers(self) -> bool:
-    """Whether the store serves this VM and no write has waited for long."""
+    """Whether the store serves this VM and no write waits for too long.
+
+    Too long is STALLED_WRITE_SECONDS.
+    """
     return (
       self.is_direct and self._get_oldest_write_age() < STALLED_WRITE_SECONDS
     )
 
   def _get_oldest_write_age(self) -> float:
-    """Returns the seconds since the oldest running write began."""
+    """Returns the seconds since the oldest running write began.
+
+    The result is -inf if no write is running.
+    """
     oldest = min(self._write_started_at.values(), default=math.inf)
     return time.monotonic() - oldest
 
   @contextlib.contextmanager
   def clock(self) -> Iterator[None]:
-    """Returns a context that measures the duration of a write."""
+    """Returns a context that measures the duration of a write.
+
+    `is_slow` and `has_answers` depend on these durations, and on the writes
+    that are still running.
+    """
     began = time.monotonic()
     call = object()
     self._write_started_at[call] = began
@@ -159,10 +189,12 @@
     removes: Sequence[rows.Key] = (),
     conditions: Sequence[tuple[rows.Key, int]] = (),
   ) -> rows.Outcome:
-    """Returns the outcome of an atomic change of one part.
+    """Returns the outcome of an atomic change of one part of a table.
 
-    A change whose response was lost may be retried through a peer: its
-    conditions then show that it was already applied.
+    `conditions` has the versions that rows must have for the change to be made.
+    A change whose response was lost may be retried through a peer.  If it was
+    already applied, its conditions fail, and the rows in the outcome show that
+    it was.
     """
     message = turn_messages.StoreChange(
       writes=tuple(_make_row(key, value=value) for key, value in writes),
@@ -191,7 +223,11 @@
   async def read(
     self, table: str, part: str, *, first: str = '', end: str = ''
   ) -> rows.Page:
-    """Returns the rows with names from `first` to `end`, without `end`."""
+    """Returns the rows of a part with names from `first` to `end`.
+
+    `end` is excluded; if it is empty there is no upper bound.  The page may be
+    cut, as its `is_cut` says.
+    """
     message = turn_messages.StoreRead(
       table=table, part=part, first=first, end=end
     )
@@ -236,6 +272,11 @@
     call: Callable[[], Awaitable[T]],
     relay: Callable[[beats.Member], Awaitable[T]],
   ) -> T:
+    """Returns the result of a direct call, or of a call relayed by a peer.
+
+    Up to MAX_RELAYS peers are tried in turn.  Raises the last error if all
+    calls fail.
+    """
     failure = errors.WoadrunError(
       errors.Code.PLATFORM_UNAVAILABLE,
       'The store is unreachable, both directly and through peers.',
@@ -264,6 +305,7 @@
     raise failure
 
   async def _call_timed(self, call: Callable[[], Awaitable[T]]) -> T:
+    """Returns the result of a call, and records its reading of the clock."""
     began = time.monotonic()
     result = await call()
     if result.clock is not None:
@@ -287,7 +329,8 @@
   async def _call_abortable(self, call: Callable[[], Awaitable[T]]) -> T:
     """Returns the result of a call.
 
-    Raises `WoadrunError` if another call finds the store unreachable meanwhile.
+    Raises `WoadrunError` if another direct call fails meanwhile, so that this
+    call does not wait for its own timeout.
     """
     timeout_scope = asyncio.timeout(None)
     try:
@@ -307,6 +350,7 @@
       self._running_timeouts.pop(timeout_scope, None)
 
   def _abort_calls(self) -> None:
+    """Ends all running direct calls with a timeout."""
     now = asyncio.get_running_loop().time()
     for timeout_scope in self._running_timeouts:
       timeout_scope.reschedule(now)
@@ -345,6 +389,7 @@
 
   @mode.Service.task
   async def _probe(self) -> None:
+    """Probes a store that refuses this VM, and dates its unreachability."""
     while not self.should_stop:
       if self.is_reached:
         self._unreachable_since = None
@@ -357,6 +402,7 @@
   async def _probe_once(self) -> None:
     try:
       async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
+        # '~' comes after the usual names, which keeps the response small.
         await self.direct.read(fleet.TABLE, '', first='~')
       self._update_status(None)
     except (errors.WoadrunError, TimeoutError) as error:
@@ -369,7 +415,9 @@
 class StoreRelay:
   """Relays calls of peers to the store, always directly.
 
-  Calls are refused immediately while the store does not respond to this daemon.
+  A relayed call is not relayed again.  Each method raises `WoadrunError`
+  immediately while the store does not respond to this daemon, and if the call
+  to the store fails.
   """
 
   def __init__(self, *, access: StoreAccess) -> None:
@@ -386,7 +434,10 @@
   async def change(
     self, message: turn_messages.StoreChange
   ) -> turn_messages.StorePage:
-    """Returns the outcome of a change made for a peer."""
+    """Returns the outcome of a change made for a peer.
+
+    The write counts as one of this daemon's own in `is_slow` and `has_answers`.
+    """
     self._check_available()
     with self._access.clock():
       outcome = await self._access.direct.change(
@@ -414,7 +465,11 @@
   async def follow(
     self, message: turn_messages.StoreFollow
   ) -> turn_messages.StorePage:
-    """Returns changes, or a page that says that their history is gone."""
+    """Returns changes read for a peer.
+
+    If the store no longer has the history, `is_history_gone` of the page is
+    set.
+    """
     self._check_available()
     try:
       page = await self._access.direct.follow(
