--- a/src/woadrun/connection/messages.py
+++ b/src/woadrun/connection/messages.py
@@ -1,8 +1,21 @@
 """Messages between daemons about slots, upstreams, limits and the table.
 
 Each message is the JSON body of a POST to `/peer/...`; its docstring names the
-answer.  Instead of the answer a peer may return an error.  Records and rosters
-are encoded as they are stored.
+answer.  Instead of the answer a peer may return an error, with an HTTP status
+other than 200.  Records and rosters are encoded as they are stored.
+
+Terms:
+  table: The operators' table of limits and weights, unless the table service is
+    named, which also stores the rosters.
+  roster: The members of a failure domain (domain), and the pair of each slot.
+  slot: A numbered part of a domain's programs.  For an upstream, a call that it
+    may run concurrently.
+  pair: The owner of a slot, which serves it, and its standby, which has a copy.
+  epoch: The roster version at which the pair of a slot last changed.
+  claim: A daemon's decision to serve a slot without a change of the roster,
+    while the table service is unavailable; numbered within the epoch.
+  keeper: The daemon that coordinates an upstream's queue or a row's limits.
+  holder: The process to which a keeper granted permits or lent places.
 """
 
 from __future__ import annotations
@@ -19,11 +32,11 @@
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True, kw_only=True):
-  """The load of an upstream, as known to the daemon that keeps its queue.
+  """The load of an upstream, as known to the keeper of its queue.
 
   `running` and `waiting` count calls.  `slots` is the number of calls that the
   upstream may run now, lower than configured while it fails.  `seconds` is the
-  learned duration of a call in the upstream.
+  moving average of the duration of its successful calls.
   """
 
   name: str
@@ -38,8 +51,8 @@
 
   `incarnation` identifies the process at the address `sender`.  The versions
   are those of its domain's roster and of its table.  `leaving` is set during a
-  planned stop.  `suspects` are the members that the sender itself does not
-  hear, `claims` the slots that it serves although the roster does not say so.
+  planned stop.  `suspects` are the members whose heartbeats the sender itself
+  misses, `claims` the slots that it serves although the roster does not say so.
   `loads` covers the upstreams whose queues it keeps.  `leaving_vms` are the
   addresses of the VMs that the platform is about to remove.
   """
@@ -57,13 +70,13 @@
 
 
 class AskAlive(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks whether the peer hears the daemon `address`; answered by `Alive`."""
+  """Asks whether the peer heard the daemon `address`; answered by `Alive`."""
 
   address: str
 
 
 class Alive(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells whether the peer heard the daemon recently.
+  """Tells whether the peer recently heard the daemon that `AskAlive` names.
 
   `roster_version` is that of the peer's roster.
   """
@@ -79,7 +92,7 @@
 
 
 class AskEdits(msgspec.Struct, frozen=True, kw_only=True):
-  """Asks for the edits of the table after a version.
+  """Asks for the edits of the table after the version `after`.
 
   Answered by `Edits`.
   """
@@ -91,7 +104,7 @@
   """The edits of the table up to `version`.
 
   `edits` are those after the version asked for.  If the peer no longer has all
-  of them, `snapshot` holds all rows instead.
+  of them, `snapshot` holds all rows at `version` instead.
   """
 
   version: int
@@ -129,10 +142,11 @@
 
 
 class Group(msgspec.Struct, frozen=True, kw_only=True):
-  """Batches to be written to the object store, as a JSON array.
+  """Batches that the receiver writes to the object store for the sender.
 
-  Answered by `Done` once they are stored.  `is_hurried` asks the writer not to
-  wait for its full write interval.
+  `appends` is a JSON array of `Append`.  Answered by `Done` once they are
+  stored.  `is_hurried` asks the receiver not to wait for its full write
+  interval.
   """
 
   appends: msgspec.Raw
@@ -144,7 +158,7 @@
 
   `verdict` is `ok` if the standby has the batch, `gap` if it lacks an earlier
   one or has no copy of the slot, and `stale` if it no longer accepts batches of
-  this version.
+  the version under which the batch was written.
   """
 
   slot: int
@@ -161,12 +175,12 @@
 class Sync(msgspec.Struct, frozen=True, kw_only=True):
   """The whole state of a slot, sent to a daemon that is to be its standby.
 
-  Answered by `Done`, or refused with `stale_epoch`.  `version` is that under
-  which the sender holds the slot; `tail` lists the batches within the state
-  that the platform may not have stored yet.  `copy_id` tells apart several
-  copies of the same version: a delayed request to drop one copy (the same
-  message with an empty state, to `/peer/sync/forget`) leaves later copies in
-  place.
+  Answered by `Done`, or refused with `stale_epoch` if the receiver would not
+  use the copy.  `version` is that under which the sender holds the slot; `tail`
+  lists the batches within the state that the platform may not have stored yet.
+  `copy_id` tells apart several copies of the same version: a delayed request to
+  drop one copy (the same message with an empty state, to `/peer/sync/forget`)
+  leaves later copies in place.
   """
 
   sender: str
@@ -178,7 +192,7 @@
 
 
 class Copies(msgspec.Struct, frozen=True, kw_only=True):
-  """Slot numbers.
+  """Slots, to find out which of them a member has a copy of.
 
   As a request, asks which of these slots a member serves without the roster or
   has a current copy of; the answer lists those.
@@ -191,8 +205,8 @@
   """Slots, with their versions, that an owner offers to their standby.
 
   Sent during a planned stop while the table service is unavailable.  The answer
-  is an `Offer` of the slots that the standby serves from now on, with its own
-  versions.
+  is an `Offer` of the slots that the standby serves from now on, with the
+  versions under which it claims them.
   """
 
   sender: str
@@ -202,9 +216,9 @@
 class Handover(msgspec.Struct, frozen=True, kw_only=True):
   """Calls that the sender will finish although it gives their slots away.
 
-  Each of `requests` is slot, program and request; answered by `Done`.  Only the
-  process `incarnation` can finish them: a restarted process at the same address
-  does not know them.
+  Each of `requests` is a slot number, program id and request id; answered by
+  `Done`.  Only the process `incarnation` can finish them: a restarted process
+  at the same address does not know them.
   """
 
   sender: str
@@ -213,7 +227,7 @@
 
 
 class Requests(msgspec.Struct, frozen=True, kw_only=True):
-  """Calls, each as program and request.
+  """Calls, each as program id and request id.
 
   As a request, asks the sender of a `Handover` which of these calls it still
   executes; the answer lists those.
@@ -223,7 +237,7 @@
 
 
 class Finish(msgspec.Struct, frozen=True, kw_only=True):
-  """The outcome of a call that an earlier owner of the slot finished.
+  """The outcome of a call, sent to the slot's owner by an earlier owner.
 
   Answered by `Recorded`.
   """
@@ -233,7 +247,10 @@
 
 
 class Recorded(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells whether the call has the outcome sent, rather than another one."""
+  """Tells whether the call has the outcome sent.
+
+  `has_outcome` is False if the call already had a different one.
+  """
 
   has_outcome: bool = True
 
@@ -244,9 +261,10 @@
   Refused with `overloaded` when the wait is longer than `patience` seconds or
   expected to be.  `holder` names a process, not only its address: the permits
   of a process that died are released although another process runs at the same
-  address.  `row` is the table row of the call and `weight` that row's weight in
-  fair queueing.  `attained` is the service that the whole program has received
-  and `cost` the expected duration of the call, both in seconds.
+  address.  `row` is the key of the call's table row and `weight` that row's
+  weight in fair queueing.  `attained` is the service that the whole
+  program has received, estimated from its tokens, and `cost` the expected
+  duration of the call, both in seconds.
   """
 
   holder: str
@@ -266,7 +284,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, kw_only=True):
-  """Returns a permit and reports the outcome of its call.
+  """Returns a permit and reports the outcome of its call; see `Releases`.
 
   `seconds` is the duration of the call, 0 to report no outcome; `is_ok` tells
   whether the call succeeded.
@@ -298,10 +316,11 @@
 class Borrow(msgspec.Struct, frozen=True, kw_only=True):
   """Asks the keeper of a row's limits for concurrent places and for calls.
 
-  Answered by `Lent`, or refused with `limit_reached`.  `in_use` counts the
-  places that the holder has; `is_more` asks for another one.  `number`
-  increases with each message of the holder about the row and so identifies the
-  newest state.
+  A place allows one concurrent call, a call is a token of the rate limit.
+  Answered by `Lent`, or refused with `limit_reached`.  `in_use` counts all
+  places that the holder has, used or not; `is_more` asks for another one.
+  `number` increases with each message of the holder about the row and so
+  identifies the newest state; a message with 0 is never considered outdated.
   """
 
   holder: str
@@ -347,7 +366,7 @@
 class RosterAnswer(msgspec.Struct, frozen=True, kw_only=True):
   """A domain's roster, None if the peer does not know it.
 
-  Also sent as an announcement of a new roster, which is answered by `Done`.
+  Also sent unasked to announce a new roster, which is answered by `Done`.
   `claims` are the slots of the domain that daemons serve although the roster
   does not say so.
   """
--- a/src/woadrun/process/dispatcher.py
+++ b/src/woadrun/process/dispatcher.py
@@ -1,9 +1,12 @@
 """Permits for calls to upstreams, granted from one queue per upstream.
 
-One daemon, the keeper of an upstream's queue, grants its permits; the
-roster determines which.  When the keeper changes, holders report their
-permits to the new one.  Permits of a process that is no longer in any
-roster are released.
+An upstream is a model engine or a service that calls are sent to; its slots are
+the calls that it may run concurrently, and a permit is the id under which a
+call occupies one.  One daemon, the keeper of the upstream's queue, grants its
+permits.  The roster, the list of the members of the upstream's failure domain,
+determines which daemon that is.  A holder is a daemon process with permits.
+When the keeper changes, holders report their permits to the new one.  Permits
+of a process that is no longer in the roster of any domain are released.
 """
 
 from __future__ import annotations
@@ -29,24 +32,27 @@
 
 log = logging.getLogger('woadrun.dispatcher')
 
-# Estimated duration of a call before the first sample.
+# Estimated duration of a call before the first successful one.
 FIRST_SECONDS = 1.0
 # Weight of a new sample in the moving average of call durations.
 SMOOTHING_FACTOR = 0.1
-# After this many consecutive failures an upstream gets one call at a time.
+# After this many consecutive failures an upstream gets only probe calls, one at
+# a time.
 FAILURE_THRESHOLD = 3
 # Least time between probe calls to an upstream that fails.
 PROBE_INTERVAL_SECONDS = 2.0
+# Timeout of messages that report or release permits.
 REPORT_TIMEOUT_SECONDS = 2.0
 # Releases to one keeper within this time are sent in one message.
 RELEASE_BATCH_DELAY_SECONDS = 0.003
 # Interval at which holders report all their permits to keepers.
 RECONCILE_INTERVAL_SECONDS = 1.0
-# A call is refused early when its expected wait exceeds its patience by
-# this factor.  The estimate is inexact, and waiting costs little.
+# A call is refused early when its expected wait exceeds its patience, the
+# seconds that it may wait, by this factor.  The estimate is inexact, and
+# waiting costs little.
 EARLY_REFUSAL_FACTOR = 1.5
-# Added to the time-out of a request for a permit, beyond the caller's
-# patience, for the response to arrive.
+# Added to the call's patience in the timeout of a request for a permit, for the
+# response to arrive.
 RESPONSE_MARGIN_SECONDS = 1.0
 
 
@@ -80,7 +86,7 @@
     """Returns how many calls the upstream may run at `now`.
 
     An upstream that fails may run one probe call per
-    `PROBE_INTERVAL_SECONDS`.
+    `PROBE_INTERVAL_SECONDS`, after the calls that still run there have ended.
     """
     if self.failures < FAILURE_THRESHOLD:
       return self.slots
@@ -109,7 +115,7 @@
 
 
 class Dispatcher(mode.Service):
-  """The queues that this daemon keeps, and a client of all others."""
+  """The queues that this daemon keeps, and a client of all other keepers."""
 
   def __init__(
     self,
@@ -146,7 +152,8 @@
     """Returns once the keeper has granted the permit.
 
     Raises `overloaded` if no permit is granted within the call's patience,
-    if the call is refused early, or if the keeper cannot be reached.
+    if the call is refused early, or if there is no keeper or it cannot be
+    reached.  Other errors of the keeper are raised unchanged.
     """
     keeper = self.get_keeper(request.upstream)
     if not keeper:
@@ -160,6 +167,8 @@
       else:
         await self._request_permit(keeper, request)
     except BaseException:
+      # The keeper may have granted the permit although its response was lost.
+      # With 0 seconds, the release reports no outcome.
       self.release(
         messages.Release(
           permit=request.permit,
@@ -222,10 +231,11 @@
   # --- Keeping queues -------------------------------------------------------
 
   async def queue(self, request: messages.Acquire) -> messages.Granted:
-    """Returns once a slot of the upstream is granted to the holder.
+    """Returns once the permit is granted to the holder.
 
-    Raises `overloaded` if no slot is granted within the call's patience,
-    if the queue is full, or if a new program's expected wait is too long.
+    Raises `overloaded` if it is not granted within the call's patience, if the
+    queue is full, or if the expected wait of a program's first call is too
+    long.
     """
     upstream = self._get_upstream(request.upstream)
     now = self.clock()
@@ -275,7 +285,11 @@
     )
 
   def release_slot(self, message: messages.Release) -> messages.Done:
-    """Releases a permit and records the outcome of its call."""
+    """Releases a permit and records the outcome of its call.
+
+    A permit that is not granted yet is removed from the queue.  A message with
+    0 seconds reports no outcome.
+    """
     upstream = self._get_upstream(message.upstream)
     now = self.clock()
     upstream.waiting.remove(message.permit)
@@ -298,6 +312,7 @@
         if holder == message.holder and permit not in permits:
           del upstream.holder_by_permit[permit]
       for permit in permits:
+        # A holder also reports permits that it still waits for.
         if permit not in upstream.waiter_by_permit:
           upstream.holder_by_permit[permit] = message.holder
       upstream.grant(now)
@@ -328,6 +343,7 @@
   # --- Roster changes and reconciliation ------------------------------------
 
   def _drop_gone(self) -> None:
+    """Releases the permits of processes that no roster contains any more."""
     known = self._members.directory.get_known_processes()
     for upstream in self.upstream_by_name.values():
       for permit, holder in list(upstream.holder_by_permit.items()):
--- a/src/woadrun/process/limits.py
+++ b/src/woadrun/process/limits.py
@@ -1,11 +1,16 @@
 """Enforces the limits of the operators' rows across all daemons.
 
-A large limit is split into one share per failure domain, so that it holds
-during network partitions between domains as well.  A small limit is
-assigned whole to one domain.  Within a domain one member, the row's
-keeper, manages the share; the roster determines which.  The keeper lends
-daemons places (concurrent calls) and calls (tokens of a rate limit).  While
-a limit has room to spare, it lends some ahead of demand, so that most calls
+A row of the operators' table limits the concurrent calls and the call rate of a
+team, or of a kind of its work.  The limits of a row with a large concurrency
+(see `admission.is_split`) are split into one share per failure domain of the
+region, so that they hold during network partitions between domains as well.
+Those of another row are assigned whole to one domain.  Within a domain one
+member, the row's keeper, manages the share; the roster, the list of the
+domain's members, determines which.
+
+The keeper lends places (each for one concurrent call) and calls (tokens of the
+rate limit) to holders, which are daemon processes of any domain.  While a limit
+has room to spare, the keeper lends some ahead of demand, so that most calls
 need no message; of a scarce limit it lends one at a time.
 """
 
@@ -31,20 +36,23 @@
 
 log = logging.getLogger('woadrun.limits')
 
+# Timeout of messages to a keeper, and of the wait for the next keeper after one
+# that cannot be reached; `retry_after` of the error if there is none.
 PEER_TIMEOUT_SECONDS = 1.0
+# Interval at which holders report their places and return unused ones.
 RECONCILE_INTERVAL_SECONDS = 1.0
 # A new keeper lends nothing for this long, while holders report their places.
 GRACE_PERIOD_SECONDS = 0.3
-# Delay before a retry when the keeper has not applied the edit that added the
-# row; the edit reaches the keeper within about this time.
+# `retry_after` of the error when the keeper has not applied the edit that added
+# the row; the edit reaches the keeper within about this time.
 STALE_TABLE_RETRY_SECONDS = 0.2
-# Delay before a retry when no place is free.
+# `retry_after` of the error when no place can be borrowed.
 CONCURRENCY_RETRY_SECONDS = 1.0
 # Interval between checks whether a row has another keeper: a tenth of the
-# heartbeat interval, since heartbeats spread rosters.
+# default heartbeat interval, since heartbeats spread rosters.
 KEEPER_POLL_INTERVAL_SECONDS = 0.05
-# Requests to the keeper for one call: one for a call, one for a place that
-# another call took in the meantime, and one more.
+# Requests to the keeper for one call: one for a token of the rate limit, one
+# for a place if another call took the free one in the meantime, and one more.
 MAX_BORROW_REQUESTS = 3
 
 
@@ -61,7 +69,10 @@
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Allocation:
-  """A keeper's record of what it has lent of one row's limits."""
+  """A keeper's record of what it has lent of one row's limits.
+
+  `bucket` limits the rate; it is created with the first loan.
+  """
 
   created_at: float
   places_by_holder: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -75,10 +86,12 @@
 class Borrowed:
   """What this daemon has borrowed of one row's limits.
 
-  `peak_in_use` is the largest number of places in use since unused ones were
-  last returned.  `number` is the sequence number of the last message about
-  the row.  `pending_requests` counts requests without a response, and
-  `is_return_deferred` is set if places are to be returned once all of these
+  `places` counts the places lent, in use or not, and `calls` the calls that may
+  still start.  `in_use` holds the permits, the ids under which running calls
+  occupy places.  `peak_in_use` is the largest number of places in use since
+  unused ones were last returned.  `number` is the sequence number of the last
+  message about the row.  `pending_requests` counts requests without a response,
+  and `is_return_deferred` is set if places are to be returned once all of these
   requests are answered.
   """
 
@@ -92,7 +105,7 @@
   is_return_deferred: bool = False
 
   def take(self, permit: str) -> bool:
-    """Returns whether a place and a call were left, and takes them."""
+    """Takes a place and a call; returns False if one of them is missing."""
     if len(self.in_use) >= self.places or not self.calls:
       return False
     self.calls -= 1
@@ -127,16 +140,17 @@
   # --- Borrowing ------------------------------------------------------------
 
   async def acquire(self, row: rows.Row, permit: str) -> None:
-    """Returns once the row's limits admit the call.
+    """Returns once the row's limits admit the call with this permit.
 
-    Raises `limit_reached` if they do not.
+    Raises `limit_reached` if they do not or no keeper can be reached, and
+    `config_unavailable` if the keeper does not know the row yet.
     """
     borrowed = self._borrowed_by_row.setdefault(row.key, Borrowed())
     for _ in range(MAX_BORROW_REQUESTS):
       if borrowed.take(permit):
         return
       await self._borrow_more(row, borrowed)
-    # Concurrent calls took what the last request borrowed.
+    # Concurrent calls may have taken what the last request borrowed.
     if not borrowed.take(permit):
       raise make_limit_reached(row.key, CONCURRENCY_RETRY_SECONDS)
 
@@ -165,7 +179,8 @@
   ) -> messages.Lent:
     """Returns what the row's keeper lends.
 
-    If the keeper leaves meanwhile, sends the request to the next one.
+    If the keeper cannot be reached or is replaced meanwhile, sends the request
+    to the next one.  Raises `limit_reached` if there is none in time.
     """
     deadline = self.clock() + PEER_TIMEOUT_SECONDS
     while True:
@@ -219,7 +234,8 @@
   def release(self, row: rows.Row, permit: str) -> None:
     """Frees the place of a call, to be returned with the next report.
 
-    If no more than one place is unused, it is returned at once.
+    If no more than one place is unused then, it is returned at once.  Does
+    nothing for a row of which this daemon has borrowed nothing.
     """
     borrowed = self._borrowed_by_row.get(row.key)
     if borrowed is None:
@@ -230,6 +246,7 @@
       self._return_places(row.key, borrowed, spare=0)
 
   def _return_places(self, key: str, borrowed: Borrowed, *, spare: int) -> None:
+    """Returns all unused places except `spare`, and reports the others."""
     if borrowed.pending_requests:
       # Deferred until the pending response arrives: the keeper counts the
       # places in that response, and a report sent now would not include them.
@@ -261,7 +278,7 @@
     """Returns the places and calls lent to the holder.
 
     Raises `limit_reached`, with the time after which to retry, if a limit
-    has no room.
+    has no room, and `config_unavailable` if this daemon does not know the row.
     """
     row = self._get_row(request.row)
     if row is None:
@@ -288,7 +305,8 @@
       # A later report overtook this request, and the holder no longer waits
       # for the response.
       raise make_limit_reached(row.key, CONCURRENCY_RETRY_SECONDS)
-    # Includes places in a response that the holder has not received yet.
+    # The places lent include those in a response that the holder has not
+    # received yet.
     held = max(request.in_use, lent.get(request.holder, 0))
     sequence.latest = max(sequence.latest, request.number)
     others = sum(lent.values()) - lent.get(request.holder, 0)
@@ -344,6 +362,7 @@
     return len(self._members.directory.get_known_addresses())
 
   def _get_share(self, row: rows.Row) -> int:
+    """Returns how many places the keeper of this domain may lend."""
     if not admission.is_split(row.concurrency, self._domains):
       return row.concurrency
     return admission.get_share(
@@ -357,6 +376,7 @@
     rate = row.rate / (len(self._domains) if is_split else 1)
     bucket = allocation.bucket
     if bucket is None or bucket.rate != rate:
+      # One second's calls, but at least one.  A rate of 0 allows no calls.
       burst = max(1.0, rate)
       now = self.clock()
       bucket = admission.Bucket(
@@ -398,6 +418,7 @@
       if borrowed.places or borrowed.keeper:
         spare = borrowed.peak_in_use - len(borrowed.in_use)
         self._return_places(key, borrowed, spare=spare)
+        # Without places, later intervals need no report.
         borrowed.keeper = borrowed.keeper if borrowed.places else ''
 
   def _remove_gone_holders(self) -> None:
--- a/src/woadrun/process/ownership.py
+++ b/src/woadrun/process/ownership.py
@@ -1,10 +1,17 @@
 """Ownership of slots: commits, replication to standbys and changes of owner.
 
+A slot is a numbered part of a failure domain's programs.  The domain's roster,
+a row of the table service (the table), names each slot's pair, which is its
+owner and its standby, and its epoch, the roster version at which the pair last
+changed.  While the table is unavailable, a daemon may claim a slot: it serves
+the slot under a higher version within the epoch, without a change of the roster
+(see `outage`).
+
 A batch of records is committed once the slot's standby has acknowledged it
 under the slot's epoch.  A standby stops acknowledging the old epoch before it
 takes over.  The protocol therefore relies on no clock, and an owner that was
-frozen learns of its replacement before it causes any effect.  The roster row
-decides between competing owners.
+frozen learns of its replacement before it causes any effect.  If two daemons
+serve a slot nevertheless, the roster row decides which of them is the owner.
 """
 
 from __future__ import annotations
@@ -35,8 +42,8 @@
 
 SYNC_TIMEOUT_SECONDS = 3.0
 HANDOVER_TIMEOUT_SECONDS = 3.0
-# Ownership of a slot needs no new confirmation within this time of its last
-# acknowledgement.
+# Within this time of a slot's last acknowledgement, `confirm` returns without a
+# new round trip.
 CONFIRMATION_TTL_SECONDS = 1.0
 # Share of the platform's write rate that checkpoints may use.
 CHECKPOINT_WRITE_SHARE = 0.2
@@ -72,12 +79,16 @@
     )
     self.replica_by_slot = self.copies.replica_by_slot
     self._loading: set[int] = set()
-    # The epoch, by slot, at which a claimer replaced this daemon as the owner.
+    # The epoch, by slot, within which another daemon claimed a slot that this
+    # daemon owned.
     self._yielded_epoch_by_slot: dict[int, int] = {}
     self.on_owned: OwnedListener = lambda holding: None
+    # Returns the calls of a slot that run here, as slot number, program id and
+    # request id.
     self.get_running: Callable[[int], list[tuple[int, str, str]]] = (
       lambda slot: []
     )
+    # Counts the slots whose history here diverged from that of the new owner.
     self.forks = 0
     self.streams = replication.Replication(
       address=self._address,
@@ -100,7 +111,7 @@
 
     Waits while the slot is being loaded, copied or transferred.  Raises
     `not_owner` if this daemon does not own the slot, or if the wait exceeds
-    the hold time.
+    `timing.hold`.
     """
     deadline = time.monotonic() + self._config.timing.hold
     while True:
@@ -115,6 +126,7 @@
       if holding is None:
         await asyncio.sleep(self._config.timing.heartbeat / 10)
         continue
+      # Checks every 0.5 s for the deadline and for a change of owner.
       with contextlib.suppress(asyncio.TimeoutError):
         await asyncio.wait_for(holding.opened.wait(), 0.5)
 
@@ -123,7 +135,11 @@
   ) -> slots.Ticket:
     """Applies records to an owned slot and returns their ticket.
 
-    The ticket completes once the records are replicated or stored elsewhere.
+    The ticket completes once the standby has acknowledged the records.  Without
+    a standby, it completes once the platform has stored them, or with `NOWHERE`
+    if that fails.  It fails if another daemon takes the slot over.  Raises
+    `not_owner` if this daemon no longer owns the slot or the slot accepts no
+    appends now.
     """
     if self.holding_by_slot.get(holding.number) is not holding:
       raise slots.make_not_owner(
@@ -144,8 +160,12 @@
   async def settle(self, ticket: slots.Ticket, *, is_strong: bool) -> None:
     """Returns once a batch is committed.
 
-    A strong commit, which an action requires, must be stored by the standby or
-    the platform.  If neither stores the batch, only other commits succeed.
+    A strong commit requires that the standby or the platform has stored the
+    batch.  It is used for an action, a call that must not be executed twice.
+    Without `is_strong`, a batch that neither of them stores counts as committed
+    too, once its ticket completes.  Raises `not_committed` if the batch is not
+    committed within `timing.commit`, `not_owner` if another daemon took the
+    slot over, and `isolated` if this daemon is isolated.
     """
     await self._members.confirm_not_isolated()
     retry_after = self._config.timing.silent_after
@@ -160,12 +180,18 @@
       ) from None
     if is_strong and held < slots.Held.PLATFORM:
       raise slots.make_not_committed(
-        'Neither the standby nor the platform can store the intent.',
+        'Neither the standby nor the platform has stored the record.',
         retry_after=retry_after,
       )
 
   async def confirm(self, holding: slots.Holding) -> None:
-    """Returns once a recent round trip shows that this daemon owns the slot."""
+    """Returns once an acknowledgement shows that this daemon owns the slot.
+
+    Called before an answer that appends no record.  If the last acknowledgement
+    is too old, commits an empty batch and raises the errors of `append` and
+    `settle`.  As there, a batch that neither the standby nor the platform
+    stores is sufficient.
+    """
     age = time.monotonic() - holding.confirmed_at
     if age > CONFIRMATION_TTL_SECONDS:
       await self.settle(self.append(holding, []), is_strong=False)
@@ -173,6 +199,7 @@
   async def _commit_without_standby(
     self, holding: slots.Holding, ticket: slots.Ticket
   ) -> None:
+    # Half of the time that `settle` waits, so that the ticket completes first.
     wait = self._config.timing.commit / 2
     if self._members.is_platform_up():
       try:
@@ -213,8 +240,9 @@
   def _get_ack_level(self, holding: slots.Holding) -> slots.Held:
     """Returns the commit level of an acknowledgement by the slot's standby.
 
-    While the table is unavailable, only the other daemon of the pair in the
-    roster can guarantee that no other daemon serves the slot.
+    A slot is claimed while the table is unavailable.  Then only the other
+    daemon of the pair in the roster can guarantee that no other daemon serves
+    the slot.
     """
     entry = self._members.roster.slots[holding.number]
     is_pair = holding.standby in (entry.owner, entry.standby)
@@ -241,7 +269,10 @@
     }
 
   def find_copied(self, message: messages.Copies) -> messages.Copies:
-    """Returns the requested slots that this daemon claims or has a copy of."""
+    """Returns the requested slots that this daemon claims or has a copy of.
+
+    Copies of earlier epochs do not count.
+    """
     known = self._members.roster.slots
     claims = self.get_claims()
     copied = [
@@ -268,7 +299,7 @@
       self._update_pair(holding, entry)
       return
     if self._yielded_epoch_by_slot.get(number) == entry.epoch:
-      # The standby claimed the slot and will record that in the table.
+      # Another daemon claimed the slot and will record that in the roster row.
       return
     copy = self.copies.pop(number, entry.owner_before)
     if copy is not None:
@@ -299,9 +330,10 @@
   async def _probe_standby(self, holding: slots.Holding) -> None:
     """Sends an empty batch, which a standby without a copy reports as a gap.
 
-    The write of a new pair may succeed although its answer is lost and the
-    owner then tells the standby to drop its copy.  Without this check, a slot
-    without calls would stay without a copy, and no daemon could take it over.
+    The write of a new pair to the roster row may succeed although the table
+    service's answer is lost.  The slot's owner then tells the new standby to
+    drop its copy.  Without this check, a slot without calls would stay without
+    a copy, and no daemon could take it over.
     """
     try:
       current = await self.open(holding.number)
@@ -330,15 +362,16 @@
   def _release(self, number: int, entry: roster.Slot) -> None:
     holding = self.holding_by_slot.get(number)
     if holding and holding.is_claimed and holding.epoch == entry.epoch:
-      # The roster changed other slots only and does not include the claim yet.
+      # The roster changed other slots only and does not include this daemon's
+      # claim yet.
       return
     self.holding_by_slot.pop(number, None)
     self._loading.discard(number)
     if holding is not None:
       self._stop_serving(holding, entry)
     if holding is not None and holding.epoch == entry.before:
-      # The storage of this daemon still writes the batches that it has queued
-      # for the platform.
+      # The replica starts without a tail of unwritten batches: the storage of
+      # this daemon still writes those that it has queued for the platform.
       self.copies.become_standby(number, entry, holding.state)
     else:
       self.copies.apply_entry(number, entry)
@@ -353,16 +386,20 @@
     holding.opened.set()
 
   def _record_fork(self, holding: slots.Holding) -> None:
-    # The slot has two divergent histories; neither is discarded silently.
+    # The slot has two divergent histories.  That of the new owner stays in
+    # effect; this daemon's is stored for operators to merge.
     self.forks += 1
     log.error(
-      'Slot %d has a divergent history at %s.', holding.number, self._address
+      'Slot %d has divergent histories; storing that of %s.',
+      holding.number,
+      self._address,
     )
     self.add_future(self._store.keep_fork(holding.number, holding.state))
 
   async def _load_from_platform(self, number: int) -> None:
-    # The domain has no copy of the slot.  An owner that is cut off from most of
-    # the domain detects that within this delay and stops serving the slot.
+    # The failure domain has no copy of the slot.  An owner that is cut off from
+    # most of the domain detects that within this delay and stops serving the
+    # slot.
     await asyncio.sleep(self._config.timing.silent_after)
     while number in self._loading:
       try:
@@ -382,7 +419,10 @@
   async def send_copy(
     self, holding: slots.Holding, standby: str, *, copy_id: str = ''
   ) -> None:
-    """Sends an owned slot's state to a future standby."""
+    """Sends an owned slot's state to its standby or future standby.
+
+    Raises `stale_epoch` if the receiver would not use the copy.
+    """
     message = messages.Sync(
       sender=self._address,
       slot=holding.number,
@@ -396,7 +436,10 @@
   async def send_replica(
     self, number: int, replica: slots.Replica, standby: str
   ) -> None:
-    """Sends the replica of a slot that this daemon is taking over."""
+    """Sends the replica of a slot that this daemon is taking over.
+
+    Raises `stale_epoch` if the receiver, the future standby, would not use it.
+    """
     message = messages.Sync(
       sender=self._address,
       slot=number,
@@ -414,9 +457,9 @@
   async def send_running_calls(
     self, held: list[slots.Holding], target: str
   ) -> None:
-    """Sends the future owner of slots the calls that this daemon completes.
+    """Tells the future owner of slots which of their calls run here.
 
-    The calls already run here and are not moved with their slots.
+    This daemon completes these calls: they are not moved with their slots.
     """
     requests = [r for h in held for r in self.get_running(h.number)]
     if not requests:
@@ -444,7 +487,7 @@
       await self.send_copy(holding, holding.standby)
       self.mark_replicated(holding, sequence)
     except errors.WoadrunError as error:
-      log.debug('Slot %d not copied to standby: %s', holding.number, error)
+      log.debug('Copy of slot %d to standby failed: %s', holding.number, error)
     finally:
       holding.is_resyncing = False
       holding.opened.set()
@@ -456,6 +499,7 @@
   def yield_slots(self, claims: dict[int, roster.Version]) -> None:
     """Stops serving slots that another daemon claims with a newer version.
 
+    A claim is newer than a version of the same epoch with a lower claim number.
     Replicas that are older than the claims are dropped, since they may miss
     later records.
     """
@@ -481,10 +525,10 @@
 
   def _get_checkpoint_interval(self) -> float:
     # The checkpoints of all slots of all daemons share a part of the platform's
-    # write rate.
-    slots = len(self.holding_by_slot) * self._members.count_daemons()
+    # write rate.  Their number is estimated from the slots owned here.
+    slot_count = len(self.holding_by_slot) * self._members.count_daemons()
     budget = self._config.platform.writes_per_second * CHECKPOINT_WRITE_SHARE
-    return pace.get_interval(self._config.timing.checkpoint, slots, budget)
+    return pace.get_interval(self._config.timing.checkpoint, slot_count, budget)
 
   async def _checkpoint_all(self) -> None:
     for number, holding in list(self.holding_by_slot.items()):
@@ -494,6 +538,7 @@
         holding.checkpoint_sequence = sequence
     known = self._members.roster
     live = set(known.incarnations) - self._members.get_silent()
+    # One live member of the domain deletes the objects that no load needs.
     if roster.rank('clean', live)[:1] == [self._address]:
       await self._store.clean(len(known.slots))
 
--- a/src/woadrun/process/transitions.py
+++ b/src/woadrun/process/transitions.py
@@ -1,8 +1,16 @@
 """Transitions of slots between daemons: takeover, handover and balancing.
 
+A slot is a numbered part of a failure domain's programs.  The domain's roster,
+a row of the table service (the table), names each slot's pair, which is its
+owner and its standby, and its epoch, the roster version at which the pair last
+changed.  While the table is unavailable, a daemon may claim a slot: it serves
+the slot without a change of the roster (see `outage`).
+
 At each heartbeat interval a daemon checks the slots that it owns or stands by
 for.  It changes the roster to replace a silent owner or standby, to move slots
-before a planned stop, and to balance the slots among the daemons.
+before a planned stop, and to balance the slots among the daemons.  A member is
+silent if its heartbeats are missing, and unfit, which excludes it from getting
+slots, if it is silent or about to stop.
 """
 
 from __future__ import annotations
@@ -32,8 +40,8 @@
 
 COPIES_QUERY_TIMEOUT_SECONDS = 1.0
 FORGET_TIMEOUT_SECONDS = 1.0
-# Heartbeat intervals between two checks of the slot balance and for dead
-# members.
+# Heartbeat intervals between two checks whether slots have to be balanced and
+# silent members removed from the roster.
 HEARTBEATS_PER_REBALANCE = 3
 
 
@@ -63,9 +71,11 @@
   # --- Changing pairs -------------------------------------------------------
 
   async def _assign_standby(self, numbers: Iterable[int], standby: str) -> bool:
-    """Returns whether the roster names a new standby, which has the copies.
+    """Copies slots to a new standby and names it in the roster.
 
-    An empty `standby` leaves the slots without one.
+    An empty `standby` leaves the slots without one.  Skips slots that this
+    daemon does not own.  Returns whether the roster was changed.  If a copy or
+    the change fails, tells the standby to drop the copies and raises the error.
     """
     held = [h for n in numbers if (h := self._ownership.holding_by_slot.get(n))]
     pairs = {h.number: (h.epoch, self._address, standby) for h in held}
@@ -113,7 +123,12 @@
         )
 
   async def _transfer(self, numbers: list[int], target: str) -> bool:
-    """Returns whether the standby `target` became the owner of the slots."""
+    """Makes `target` the owner of those slots of which it is the standby.
+
+    This daemon becomes their standby, unless it leaves.  Returns whether the
+    roster was changed.  Raises `not_committed` or `TimeoutError` if `target`
+    does not acknowledge the batches of a slot in time.
+    """
     held = [
       h
       for n in numbers
@@ -145,7 +160,7 @@
         holding.opened.set()
 
   async def _confirm_standby(self, holding: slots.Holding) -> None:
-    # The receiver may have missed the change that made it the standby.  It
+    # The standby may have missed the change of the roster that named it.  It
     # must have the state of the current epoch before it becomes the owner.
     ticket = self._ownership.append(holding, [])
     held = await asyncio.wait_for(
@@ -168,6 +183,8 @@
       if replica.owner == owner
     }
     log.warning('Owner %s is silent; taking over %d slots.', owner, len(taken))
+    # A fenced replica acknowledges no batches, so that the owner cannot commit
+    # any more.
     for replica in taken.values():
       replica.is_fenced = True
     pairs = await self._prepare_pairs(taken)
@@ -186,6 +203,11 @@
   async def _prepare_pairs(
     self, taken: dict[int, slots.Replica]
   ) -> dict[int, tuple[int, str, str]]:
+    """Copies replicas to new standbys and returns the new pairs.
+
+    The pairs are those for `roster.with_pairs`.  A slot that has no candidate,
+    or whose copy fails, gets no standby.
+    """
     unfit = self._members.get_unfit()
     known = self._members.roster
 
@@ -235,7 +257,7 @@
     try:
       await self._record_claims()
     except errors.WoadrunError:
-      # The table is unavailable, so the claims stay local for now.
+      # The table is unavailable, so the claims are not recorded for now.
       await self._outage.drop_silent_standbys()
       await self._outage.replicate_claims()
       raise
@@ -250,6 +272,7 @@
       await self._remove_dead_members(silent)
 
   async def _record_claims(self) -> None:
+    """Names this daemon in the roster as the owner of the slots it claims."""
     claimed = {
       n: (h.epoch, self._address, '')
       for n, h in self._ownership.holding_by_slot.items()
@@ -261,6 +284,13 @@
       )
 
   async def _adopt_orphans(self, silent: set[str]) -> None:
+    """Becomes the owner of slots that no live daemon can take over.
+
+    These are slots without a live owner or standby (orphans), each adopted by
+    one fit member, and slots with a silent owner whose standby is this daemon
+    and has no copy.  Slots whose owner or standby answers, or that another
+    member may have a copy of, are left alone.
+    """
     known = self._members.roster
     live = set(known.incarnations) - self._members.get_unfit()
     orphans = [
@@ -315,11 +345,12 @@
         yield number
 
   async def _find_copied_elsewhere(self, numbers: Iterable[int]) -> set[int]:
-    """Returns the orphans of which another member has a copy.
+    """Returns the slots among `numbers` of which another member has a copy.
 
     Copies may be made while the table is unavailable.  The member with the copy
     takes the slot over itself; the state on the platform may be older.  A
-    member that is alive but does not answer may have a copy of any slot.
+    member that is alive but does not answer may have a copy of any slot, so all
+    of `numbers` are returned.
     """
     request = messages.Copies(slots=sorted(numbers))
     if not request.slots:
@@ -357,6 +388,10 @@
     return {m for entry in entries for m in (entry.owner, entry.standby)}
 
   async def _restore_standbys(self) -> None:
+    """Replaces missing and unfit standbys of the slots that this daemon owns.
+
+    A silent standby that answers a new probe stays.
+    """
     unfit = self._members.get_unfit()
     known = self._members.roster
     unfit -= await self._find_reachable_standbys(unfit)
@@ -375,6 +410,7 @@
       await self._outage.drop_silent_standbys()
 
   async def _replace_standby(self, numbers: list[int], choice: str) -> None:
+    """Assigns a standby, or drops silent ones if the table is unavailable."""
     try:
       await self._assign_standby(numbers, choice)
     except errors.WoadrunError as error:
@@ -403,16 +439,18 @@
       live = set(known.incarnations) - silent
       if roster.rank(f'prune/{member}', live)[:1] == [self._address]:
         await self._members.update_roster(
-          functools.partial(_without_slotless, member=member)
+          functools.partial(_without_unused, member=member)
         )
 
   # --- A planned stop -------------------------------------------------------
 
   async def hand_over(self) -> bool:
-    """Transfers slots in one round and returns whether none is left.
+    """Transfers slots in one round and returns whether this daemon may stop.
 
     While the table is available, the roster must name this daemon neither as
-    owner nor as standby of a slot.
+    owner nor as standby of a slot.  Otherwise it must serve no slot.  Without
+    another daemon that can receive slots, returns True.  Failed transfers are
+    logged.
     """
     async with self._change_lock:
       known = self._members.roster
@@ -445,9 +483,10 @@
         await self._outage.offer(numbers, target)
 
 
-def _without_slotless(
+def _without_unused(
   current: roster.Roster, member: str
 ) -> roster.Roster | None:
+  """Returns the roster without a member, or None if a slot names it."""
   if any(member in (slot.owner, slot.standby) for slot in current.slots):
     return None
   return roster.without_member(current, member)
