--- a/bench/faults/outside.py
+++ b/bench/faults/outside.py
@@ -70,33 +70,33 @@
     if self._shared.rng.random() < self._shared.answer_loss:
       await asyncio.sleep(SILENCE_TIMEOUT_SECONDS)
       raise _make_error(errors.Ran.UNKNOWN)
-    await self._receive_answer()
+    await self._transfer()
     return outcome
 
   async def read(self, *parts: Any, **options: Any) -> rows.Page:
     """Returns a page of rows."""
     await self._send_request()
     page = await self._shared.rows.read(*parts, **options)
-    await self._receive_answer()
+    await self._transfer()
     return page
 
   async def follow(self, *parts: Any, **options: Any) -> rows.Page:
     """Returns a page of changes."""
     await self._send_request()
     page = await self._shared.rows.follow(*parts, **options)
-    await self._receive_answer()
+    await self._transfer()
     return page
 
   async def _send_request(self) -> None:
     if self.site is not None and self.site.is_dead:
       await asyncio.Event().wait()
-    await self._receive_answer()
+    await self._transfer()
     if self._shared.is_slow:
       await asyncio.sleep(
         SLOW_RESPONSE_SECONDS * self._shared.rng.uniform(0.5, 1.5)
       )
 
-  async def _receive_answer(self) -> None:
+  async def _transfer(self) -> None:
     if self._shared.is_lost(self._name, self._domain):
       if self._shared.is_silent:
         await asyncio.sleep(SILENCE_TIMEOUT_SECONDS)
