--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -171,7 +171,7 @@
     async def sample():
       nonlocal most
       while True:
-        running = sum(e._gate.running for e in fleet.outside.engines)
+        running = sum(e._semaphore.running for e in fleet.outside.engines)
         most = max(most, running)
         await asyncio.sleep(0.002)
 
@@ -213,12 +213,12 @@
     # Engines refuse all commands to drop this program's cache, so that only
     # the comparison with the engine's list finds the cache later.
     for part in fleet.outside.engines:
-      part._fencing = 10**9
+      part._highest_fencing = 10**9
     await caller.ask('POST', f'/v1/programs/{names["missed"]}/end')
     await asyncio.sleep(1.0)
     assert names['missed'] in await get_cached(fleet)
     for part in fleet.outside.engines:
-      part._fencing = 0
+      part._highest_fencing = 0
 
     async def is_dropped():
       return await get_cached(fleet) == {names['kept']}
