--- a/src/woadrun/connection/messages.py
+++ b/src/woadrun/connection/messages.py
@@ -79,7 +79,7 @@
 
 
 class LivenessAnswer(msgspec.Struct, frozen=True, kw_only=True):
-  """Tells whether the peer recently heard the daemon that `LivenessQuery` names.
+  """Tells whether the peer recently heard the daemon of the `LivenessQuery`.
 
   `roster_version` is that of the peer's roster.
   """
--- a/src/woadrun/process/hubs.py
+++ b/src/woadrun/process/hubs.py
@@ -7,9 +7,9 @@
 A failure domain (domain) is a group of VMs that may be cut off from the others
 together.  Its hubs are ordinary members, chosen by rank.  A digest summarizes
 the heartbeats that a hub received from the members of its domain; its fields
-are documented in `fleet_heartbeats.Digest`.  Counts are the requests in progress and the
-recent failures at each upstream instance.  A turn is a call of a client's
-program that generates tokens.
+are documented in `fleet_heartbeats.Digest`.  Counts are the requests in
+progress and the recent failures at each upstream instance.  A turn is a call of
+a client's program that generates tokens.
 
 Times are on the monotonic clock of this daemon, except where a digest carries
 an age.
@@ -42,8 +42,8 @@
 DIGEST_TTL_SECONDS = 1.4
 # Delay before a hub that did not answer may be chosen again, in seconds.
 HUB_RETRY_DELAY_SECONDS = 3.0
-# Maximum number of cached results of `get_rendezvous_weight`.  Each turn and each heartbeat
-# needs the weights of a whole domain several times.
+# Maximum number of cached results of `get_rendezvous_weight`.  Each turn and
+# each heartbeat needs the weights of a whole domain several times.
 MAX_CACHED_WEIGHTS = 16_384
 # Maximum number of silent members of its own domain that a hub sends to in each
 # heartbeat interval.  A member that restarted while the store is unavailable
--- a/src/woadrun/process/store_access.py
+++ b/src/woadrun/process/store_access.py
@@ -436,7 +436,8 @@
   ) -> turn_messages.StorePage:
     """Returns the outcome of a change made for a peer.
 
-    The write counts as one of this daemon's own in `is_slow` and `is_responsive`.
+    The write counts as one of this daemon's own in `is_slow` and
+    `is_responsive`.
     """
     self._check_available()
     with self._access.clock():
--- a/src/woadrun/request/attempts.py
+++ b/src/woadrun/request/attempts.py
@@ -278,8 +278,8 @@
   async def _send_once(self, sending: exchange.RequestAttempt) -> _Attempt:
     """Sends a request to one instance and returns once its reply has begun.
 
-    `id` below is that of the incarnation.  Raises `RequestNotSent` or `Lost` without a
-    reply.
+    `id` below is that of the incarnation.  Raises `RequestNotSent` or `Lost`
+    without a reply.
     """
     id = sending.instance.incarnation_id
     stack = contextlib.AsyncExitStack()
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -8,8 +8,8 @@
 
 The accepted record of a call is committed before the call is sent upstream, and
 the finished record with its outcome before the caller gets the end of the
-answer.  The error of a call that was not sent states "not run" (`errors.RunStatus`),
-or "unknown" if another daemon may still execute the call.
+answer.  The error of a call that was not sent states "not run"
+(`errors.RunStatus`), or "unknown" if another daemon may still execute the call.
 """
 
 from __future__ import annotations
