--- a/src/woadrun/process/catalogue.py
+++ b/src/woadrun/process/catalogue.py
@@ -1,7 +1,12 @@
 """The routing table and the instances, as announced by the platform.
 
-Both arrive through feeds.  A version of the routing table is applied as a
-whole, and an older version never replaces a newer one.
+Both are tables of the row store.  They arrive through feeds: a feed delivers a
+full list of a table's rows first, then each change.  A version of the routing
+table is applied as a whole, and an older version never replaces a newer one.
+
+The routing table also has the keys of teams, and a new version may revoke some.
+A daemon that is cut off does not learn of that, so it must know how old its
+table is.  A confirmation states that no newer change was made before some time.
 """
 
 from __future__ import annotations
@@ -27,19 +32,23 @@
 
 log = logging.getLogger('woadrun.catalogue')
 
-# Interval between checks for missing instances whose grace period has ended.
+# Interval between checks for instances that were missing from the platform's
+# list for the whole grace period.
 DROP_INTERVAL_SECONDS = 0.5
-# The same interval while any instance is missing.
+# The same interval while any instance is missing: requests are sent to an
+# instance until it is dropped.
 MISSING_DROP_INTERVAL_SECONDS = 0.1
 # Time after the start within which a daemon learns routes and instances unless
 # the store is unavailable.  Requests that arrive earlier wait until then.
 STARTUP_TIMEOUT_SECONDS = 1.0
-# Confirmations of the routing table within the period for which a revoked key
-# may still be used.
+# Number of confirmations of the routing table within the period for which a
+# revoked key may still be used.  It bounds the time for which the store may
+# delay its response while nothing changes.
 CONFIRMATIONS_PER_REVOCATION = 10
 # Minimum interval between two refreshes of the routing table, regardless of the
 # number of requests that ask for one.
 REFRESH_INTERVAL_SECONDS = 0.25
+# Timeout of a refresh, during which requests wait.
 REFRESH_TIMEOUT_SECONDS = 1.0
 # Margin by which a table counts as too old before it is: clocks drift, and a
 # request takes some time from this daemon to an instance.
@@ -51,10 +60,11 @@
 
   `decode_table` and `decode_instance` raise `msgspec.MsgspecError` for a
   row that they cannot decode.  `grace` is the time in seconds within which an
-  entry that expired while the store was unavailable may be registered again.
-  `unreadable` counts the instance rows that could not be decoded.  `revocation`
-  is the time in seconds for which a key may be used after it is revoked, None
-  if that is not bounded.  `clock` is the store's clock.
+  instance whose entry expired while the store was unavailable may register
+  again; it counts as live until then.  `unreadable` counts the instance rows
+  that could not be decoded.  `revocation` is the time in seconds for which a
+  key may be used after it is revoked, None if that is not bounded.  `clock`
+  estimates the store's clock.  `age` is the age of the routing table.
   """
 
   def __init__(
@@ -125,6 +135,9 @@
   async def wait_until_known(self) -> None:
     """Returns once routes and instances are known or the start-up time is over.
 
+    `is_known` tells which of both.  The start-up time is
+    STARTUP_TIMEOUT_SECONDS.
+
     After a failure of all daemons, callers retry at processes that have just
     started.  When such requests were refused immediately, callers missed their
     deadlines or ran out of attempts although routes were known a moment later.
@@ -153,7 +166,10 @@
   # --- The routing table ----------------------------------------------------
 
   def apply_table(self, value: bytes) -> None:
-    """Applies an encoded routing table if it is newer than the current one."""
+    """Applies an encoded routing table if it is newer than the current one.
+
+    If it cannot be decoded, the current one is kept, but is no longer fresh.
+    """
     try:
       table = self._decode_table(value)
     except msgspec.MsgspecError as error:
@@ -178,6 +194,7 @@
     """Returns whether the table is recent enough to check keys with it.
 
     No key in a fresh table was revoked longer ago than `revocation` permits.
+    Returns True if `revocation` is not bounded.
     """
     if self._revocation is None:
       return True
@@ -186,10 +203,11 @@
     return self.age.get() <= self._revocation - AGE_MARGIN_SECONDS
 
   def get_confirmation(self) -> tuple[float, int] | None:
-    """Returns the time up to which the known changes are complete.
+    """Returns the newest confirmation of the routing table, for peers.
 
-    Returns a reading of the store's clock and the version of the newest known
-    change, None if revocation is not bounded or there is no confirmation.
+    Returns a reading of the store's clock, in seconds, and the version of the
+    newest change that was made before it.  Returns None if revocation is not
+    bounded or there is no confirmation.
     """
     if self._revocation is None or not self.age.is_known:
       return None
@@ -200,9 +218,11 @@
     self._refreshed_at = max(self._refreshed_at, began)
 
   async def refresh(self) -> bool:
-    """Returns whether the table was confirmed as the newest since this call.
+    """Asks the store for a newer routing table, and applies it.
 
-    Concurrent callers share one call of the store at a time.
+    Returns whether the store answered a call that began after this one, False
+    once a call fails.  Concurrent callers share one call of the store at a
+    time.
     """
     asked_at = time.monotonic()
     while self._refreshed_at < asked_at:
@@ -236,8 +256,9 @@
   def _apply_instance_list(self, listed_rows: tuple[rows.Row, ...]) -> None:
     decoded = (self._decode(row) for row in listed_rows)
     listed = [instance for instance in decoded if instance is not None]
-    # Instances missing from the list may have expired in an outage of the store
-    # just before, so that their grace period counts from its end.
+    # Instances that are missing from the list may have expired in an outage of
+    # the store just before, so their grace period counts from the end of the
+    # outage.
     self.directory.replace(listed, now=self._instance_feed.regained_at)
     log.info('Received a list of %d instances.', len(listed))
     self._notify_if_known()
@@ -263,8 +284,9 @@
     self.directory.put(instance)
 
   def _remove_instance(self, id: str) -> None:
-    # Instances whose entries expired while the store was unavailable register
-    # again soon after its return.
+    # An instance whose entry expired while the store was unavailable registers
+    # again soon after the outage, so within the grace period the instance is
+    # only marked as missing.
     regained_at = self._instance_feed.regained_at
     if time.monotonic() - regained_at < self._grace:
       remaining = [i for i in self.directory.by_id.values() if i.id != id]
@@ -291,9 +313,11 @@
         else DROP_INTERVAL_SECONDS
       )
       if self._instance_feed.is_lost:
+        # While the store is unavailable, no instance can register again.
         continue
       for instance in self.directory.drop_missing(now=time.monotonic()):
         log.info(
-          'Instance %s was dropped: still missing after the grace period.',
+          'Instance %s was dropped: missing for the grace period of %.1f s.',
           instance.id,
+          self._grace,
         )
--- a/src/woadrun/process/health.py
+++ b/src/woadrun/process/health.py
@@ -3,6 +3,11 @@
 Health checks may pass at an instance that fails requests, and fail at a healthy
 one, for all callers or for some.  The outcomes of requests are the better
 evidence.
+
+An instance is one process of a service that runs requests.  Its id here
+includes its start time, so that a restarted instance begins without failures.
+Failures are weighted sums: each failure adds its weight, which decays with
+time.
 """
 
 from __future__ import annotations
@@ -13,18 +18,21 @@
 
 log = logging.getLogger('woadrun.health')
 
-# Half-life of the weight of a failure: flapping instances go up and down within
-# one to two seconds, others fail for some seconds.
+# Half-life of the weight of a failure.  Flapping instances go up and down
+# within one to two seconds, which the weight has to outlast; others fail for
+# some seconds.
 FAILURE_HALF_LIFE_SECONDS = 3.0
-# Weight of a response "not run", which costs a further attempt but no request.
-# An instance that is merely full sends it as well.
+# Weight of a response that says that the instance did not run the request.  It
+# costs the caller a further attempt, but the request is not lost.  An instance
+# that is merely full sends it as well.
 REJECTION_WEIGHT = 0.3
 FAILURE_WEIGHT = 1.0
-# Weight of a request without a response, the failure that costs callers most.
+# Weight of a request whose response did not begin, because the connection broke
+# or the request is overdue: the failure that costs callers most.
 TIMEOUT_WEIGHT = 1.5
-# Failures that are subtracted before an instance counts as failing: services
-# fail one request in thirty on their own, and each such failure would divert
-# requests from a healthy instance.
+# Failures that are subtracted before an instance counts as failing.  Healthy
+# instances fail one request in thirty as well, and each such failure would
+# divert requests from them.
 TOLERATED_FAILURES = 1.0
 # Upper limit of the failures of an instance, so that an instance that has
 # recovered receives requests again after about ten seconds.
@@ -38,7 +46,8 @@
 # instances, over new connections.
 OVERDUE_FACTOR = 2.0
 MIN_OVERDUE_SECONDS = 1.0
-# Half-life of the longest time to the response head.
+# Half-life of the longest time to the response head, so that a single slow
+# response raises the limit for a while only.
 LATENCY_HALF_LIFE_SECONDS = 30.0
 # Age at which the report of a peer expires.
 PEER_REPORT_TTL_SECONDS = 1.5
@@ -54,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _PendingRequest:
-  """A request sent at the time `at` whose response has not begun."""
+  """A request to instance `id`, sent at `at`, whose response has not begun."""
 
   id: str
   service: str
@@ -63,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _MaxLatency:
-  """The longest time to a response head, decayed up to the time `at`."""
+  """The longest time to a response head at a service, decayed up to `at`."""
 
   seconds: float
   at: float
@@ -72,7 +81,15 @@
 class FailureTracker:
   """The weighted failures at all instances.
 
-  `avoided` has the failing instances as of the last call of `log_changes`.
+  Each request is recorded with `record_request`, with `note_answer` once its
+  response has begun, and with `record_end` in any case; the request may be any
+  hashable object.  `note_answer` raises `KeyError` for a request that is not
+  recorded.  All times are on the monotonic clock.
+
+  An instance is failing if its failures exceed TOLERATED_FAILURES, counting
+  those that this daemon saw and those that others reported.  `avoided` has the
+  failing instances as of the last call of `log_changes`; the choice of an
+  instance uses `get`.
   """
 
   def __init__(self) -> None:
@@ -106,7 +123,8 @@
   def record_end(self, request: object) -> None:
     """Records that a request ended, with or without a response.
 
-    An overdue request counts as failed even if its caller cancelled it.
+    A request whose response has not begun counts as a failure only if it is
+    overdue, then also if its caller cancelled it.
     """
     pending = self._pending_by_request.pop(request, None)
     if pending is not None and self._is_overdue(pending, time.monotonic()):
@@ -136,8 +154,9 @@
   def tell(self) -> dict[str, float]:
     """Returns the failures that this daemon saw, to be sent to peers.
 
-    `record_domain_report` subtracts them from the sum of the domain.  Records
-    of instances without failures are dropped.
+    `record_domain_report` subtracts them from the sum of the domain, which
+    includes them.  Records that have decayed below MIN_REPORTED_FAILURES are
+    dropped.
     """
     self._last_report = self.get_own_failures()
     self._record_by_id = {
@@ -175,15 +194,16 @@
     return round(min(failures, MAX_FAILURES), 1)
 
   def take(self, source: str, failing: dict[str, float]) -> None:
-    """Stores the failures that a peer saw."""
+    """Replaces the failures that the peer `source` saw, by instance."""
     self._report_by_source[source] = (time.monotonic(), failing)
 
   def record_domain_report(
     self, failing: dict[str, float], *, age: float
   ) -> None:
-    """Stores the failures that this daemon's domain saw `age` seconds ago.
+    """Replaces the failures that this daemon's failure domain saw.
 
-    The sum includes what this daemon reported last, which is subtracted.
+    `failing` sums the reports of all its daemons, by instance, as of `age`
+    seconds ago.  What this daemon reported last is subtracted.
     """
     others = {
       id: max(0.0, failures - self._last_report.get(id, 0.0))
@@ -192,7 +212,10 @@
     self._report_by_source['domain'] = (time.monotonic() - age, others)
 
   def get(self, id: str) -> float:
-    """Returns the failures at an instance beyond the tolerated ones."""
+    """Returns the failures at an instance beyond the tolerated ones.
+
+    Returns 0 for an instance that is not failing or not known.
+    """
     now = time.monotonic()
     reported = (
       failing.get(id, 0.0)
@@ -213,7 +236,7 @@
     return {id: failures for id, failures in effective.items() if failures}
 
   def log_changes(self) -> None:
-    """Logs which instances became avoided and which no longer are."""
+    """Updates `avoided` and logs the instances that were added or removed."""
     effective = self.get_all()
     for id in sorted(effective.keys() - self.avoided):
       log.warning('Instance %s is avoided: %.1f failures.', id, effective[id])
--- a/src/woadrun/process/membership.py
+++ b/src/woadrun/process/membership.py
@@ -1,8 +1,15 @@
 """Membership of the failure domain, failure detection and the roster.
 
+The roster of a failure domain is one row of the platform's table service.  It
+lists the domain's daemons, its members, and the owner and standby of each slot,
+a share of the domain's programs.  A member is listed by address, with the
+incarnation, a random id, of its process.
+
 The roster row is the single source of truth for slot ownership.  Heartbeats
-detect silent daemons and spread new versions of the roster and the table; they
-never change ownership by themselves.
+detect silent daemons and spread new versions of the roster and of the
+operators' table, the configuration that operators edit; they never change
+ownership by themselves.  While the table service is unavailable, a daemon may
+claim a slot, that is, serve it although the roster does not say so.
 """
 
 from __future__ import annotations
@@ -31,25 +38,35 @@
 ROSTER_TABLE = 'roster'
 # Largest domain in which every daemon exchanges heartbeats with all others.
 MAX_FULL_MESH_DAEMONS = 8
-# In a larger domain each daemon exchanges heartbeats with its partners and with
-# this number of successors in the ring of addresses.
+# In a larger domain each daemon exchanges heartbeats with the daemons that
+# share a slot with it and with this number of successors in the ring of
+# addresses.
 RING_SUCCESSORS = 2
-# Total rate at which the daemons of one domain read the roster row.
+# Maximum total rate at which the daemons of one domain read the roster row.
 ROSTER_READS_PER_SECOND = 2.0
-# How long another daemon's report of a silent member is valid.
+# How long another daemon's report of a silent member is valid.  A member that
+# this daemon exchanges heartbeats with is judged by those alone.
 SUSPICION_TTL_SECONDS = 3.0
 # A foreign domain counts as unreachable when none of its daemons has sent a
 # heartbeat for this time.
 DOMAIN_TIMEOUT_SECONDS = 5.0
-# Share of the heartbeats to foreign domains that go to all domains instead of
-# only those of the own region.
+# Share of the heartbeats to foreign domains whose target is chosen from all
+# regions instead of only the own one.
 ALL_REGIONS_SHARE = 0.2
 
 RosterListener = Callable[[roster.Roster], None]
 
 
 class Membership(mode.Service):
-  """Tracks the members and rosters of this and of other failure domains."""
+  """Tracks the members and rosters of this and of other failure domains.
+
+  `listeners` are called with each new roster of this domain.  `loads` returns
+  the loads of the upstreams whose queues this daemon keeps, and
+  `load_by_upstream` has those that peers reported.  `table_version` returns the
+  version of the operators' table that this daemon has; `on_newer_table` is
+  called with the address of a peer that has a newer one.  `is_leaving` is set
+  during a planned stop.  Times are on the monotonic clock.
+  """
 
   def __init__(
     self,
@@ -95,7 +112,11 @@
   # --- Reading --------------------------------------------------------------
 
   def get_silent(self) -> set[str]:
-    """Returns the members that this daemon suspects to be dead."""
+    """Returns the members that this daemon suspects to be dead.
+
+    These are the heartbeat targets that do not answer and the other members
+    that a peer reported recently and that were not heard since.
+    """
     now = time.monotonic()
     targets = set(self._heartbeat_targets)
     silent = self._get_unresponsive()
@@ -124,37 +145,44 @@
     }
 
   def _get_last_heard(self, member: str) -> float:
-    # A member that was added as a heartbeat target only recently has had no
-    # time to answer.
+    # A member that became a heartbeat target only recently has had no time to
+    # answer, so it counts as heard at that time.
     since = self._target_since.get(member, time.monotonic())
     return max(since, self._heard_at.get(member, since))
 
   def get_unfit(self) -> set[str]:
-    """Returns the members that must not receive new slots."""
+    """Returns the members that must not receive new slots.
+
+    They are silent, in a planned stop, or on a VM that will be removed soon.
+    """
     listed = self.vms.get_leaving() & set(self.roster.incarnations)
     return self.get_silent() | self._leaving_members | listed
 
   def has_quorum(self) -> bool:
     """Returns whether a majority of the heartbeat targets answered recently.
 
-    This daemon counts itself as one of them.
+    This daemon counts itself as one of them and as heard.
     """
     targets = self._heartbeat_targets
     heard = len(set(targets) - self.get_silent())
     return 2 * (heard + 1) > len(targets) + 1
 
   def is_platform_up(self) -> bool:
-    """Returns whether the table answered recently."""
+    """Returns whether the table service answered a recent roster call."""
     limit = 2 * self._config.timing.silent_after + self._get_read_interval()
     return time.monotonic() - self._platform_answered_at < limit
 
   def count_daemons(self) -> int:
-    """Returns the number of daemons that share the platform, in all domains."""
+    """Returns about how many daemons share the platform, in all domains.
+
+    Each VM of the platform's list counts as one.  Returns at least the number
+    of members of this domain, since that list may be out of date, and 1.
+    """
     return max(1, len(self.vms.vm_by_address), len(self.roster.incarnations))
 
   @property
   def process_name(self) -> str:
-    """Returns a name of this process that no other process ever has."""
+    """A name of this process that no other process ever has."""
     return directory.make_process_name(self.address, self.incarnation)
 
   def make_heartbeat(self) -> messages.Heartbeat:
@@ -175,9 +203,12 @@
   # --- The roster -----------------------------------------------------------
 
   async def update_roster(self, change: roster.Change) -> bool:
-    """Returns whether `change` produced a new roster, which is then applied.
+    """Changes the roster row; returns whether `change` produced a new roster.
 
-    Raises a platform error when the table is unreachable.
+    `change` may be called again after a conflict with another writer.  The
+    roster in the table service is applied in either case.  A new one is sent to
+    the other members.  Raises a platform error if the table service cannot be
+    reached.
     """
     before = self.roster.version
     changed_to = 0
@@ -206,7 +237,10 @@
     return is_changed
 
   async def refresh_roster(self) -> None:
-    """Reads the roster row; raises a platform error if the read fails."""
+    """Reads the roster row and applies it if it is newer.
+
+    Raises a platform error if the table service cannot be reached.
+    """
     started = time.monotonic()
     row = await self._table.read(ROSTER_TABLE, self.domain)
     self._record_confirmed(started)
@@ -216,8 +250,8 @@
   async def confirm_not_isolated(self) -> None:
     """Returns once it is certain that this daemon is not isolated.
 
-    Either most heartbeat targets answered recently, or the table did.  Raises
-    `isolated` otherwise.
+    Either most heartbeat targets answered recently, or the table service did,
+    which is asked if necessary.  Raises `isolated` otherwise.
     """
     age = time.monotonic() - self._confirmed_at
     if self.has_quorum() or age < self._config.timing.silent_after:
@@ -227,12 +261,17 @@
     except errors.WoadrunError:
       raise errors.WoadrunError(
         errors.Code.ISOLATED,
-        'This daemon can reach neither its failure domain nor the table.',
+        'This daemon can reach neither its failure domain nor the table '
+        'service.',
         retry_after=self._config.timing.silent_after,
       ) from None
 
   def adopt(self, new: roster.Roster) -> bool:
-    """Returns whether a roster is newer than the known one, and applies it."""
+    """Applies a roster if it is newer than the known one of its domain.
+
+    Returns whether it was newer.  Only a roster of this domain changes the
+    members and the heartbeat targets.
+    """
     if new.domain != self.domain:
       known = self.directory.roster_by_domain.get(new.domain)
       if known is None or new.version > known.version:
@@ -258,7 +297,10 @@
     return True
 
   async def fetch(self, domain: str, address: str) -> None:
-    """Fetches a domain's roster and claims from a peer; applies newer ones."""
+    """Fetches a domain's roster and claims from a peer; applies newer ones.
+
+    Raises an error if the peer does not answer.
+    """
     answer = await self._links.post(
       address,
       'roster/get',
@@ -274,7 +316,8 @@
   async def is_member_reachable(self, address: str) -> bool:
     """Returns whether a new round trip shows that a member is alive.
 
-    Asks the member itself and all other heartbeat targets.
+    Asks the member itself for a heartbeat, and all other heartbeat targets
+    whether they heard it recently.  One positive answer suffices.
     """
     others = [m for m in self._heartbeat_targets if m != address]
     answers = await asyncio.gather(
@@ -286,7 +329,10 @@
   # --- Heartbeats -----------------------------------------------------------
 
   def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-    """Records the state that a peer reports in its heartbeat."""
+    """Records the state that a peer reports in its heartbeat.
+
+    A newer roster that it reports is fetched in the background.
+    """
     now = time.monotonic()
     self._domain_heard_at[heartbeat.domain] = now
     if heartbeat.domain == self.domain:
@@ -304,12 +350,14 @@
       self.on_newer_table(heartbeat.sender)
 
   def add_heartbeat_target(self, address: str) -> None:
-    """Adds a member to the heartbeat targets until the next roster."""
+    """Adds a member to the heartbeat targets until a new roster is applied."""
     if address not in self._heartbeat_targets:
       self._heartbeat_targets.append(address)
       self._target_since[address] = time.monotonic()
 
   def _record_member(self, heartbeat: messages.Heartbeat, now: float) -> None:
+    # Another process at the address of a member does not show that the member
+    # is alive.
     expected = self.roster.incarnations.get(heartbeat.sender)
     if expected is not None and expected != heartbeat.incarnation:
       return
@@ -361,11 +409,14 @@
     return time.monotonic() - heard < self._config.timing.silent_after
 
   def mark_domain_unreachable(self, domain: str) -> None:
-    """Marks a domain as unreachable until one of its daemons is heard again."""
+    """Marks another domain as unreachable until a heartbeat of it arrives."""
     self._domain_heard_at.pop(domain, None)
 
   def has_recent_domain_heartbeat(self, domain: str) -> bool:
-    """Returns whether any daemon of a domain sent a heartbeat recently."""
+    """Returns whether any daemon of a domain sent a heartbeat recently.
+
+    Returns True for this domain.
+    """
     if domain == self.domain:
       return True
     heard = self._domain_heard_at.get(domain, float('-inf'))
@@ -385,7 +436,8 @@
   async def bootstrap_from(self, address: str) -> None:
     """Fetches roster and claims from a daemon that no known roster lists.
 
-    A newer table that its heartbeat reports is fetched as well.
+    A newer operators' table that its heartbeat reports is fetched as well.
+    Raises an error if the daemon does not answer.
     """
     heartbeat = await self._exchange(address)
     await self.fetch(heartbeat.domain, address)
@@ -394,7 +446,7 @@
     try:
       await self._exchange(address)
     except errors.WoadrunError as error:
-      log.debug('Heartbeat exchange failed: %s', error)
+      log.debug('Cannot exchange heartbeats with %s: %s', address, error)
 
   @mode.Service.task
   async def _send_heartbeats(self) -> None:
@@ -425,8 +477,10 @@
       )
 
   def _choose_foreign_targets(self) -> list[str]:
-    # Returns at most one daemon, on average one per second: mostly of the own
-    # region, and with a probability of `ALL_REGIONS_SHARE` of any region.
+    # Returns no daemon or one.  A daemon is chosen with a probability equal to
+    # the heartbeat interval in seconds, that is, one per second on average:
+    # mostly of the own region, and with a probability of `ALL_REGIONS_SHARE` of
+    # any region.
     region = set(self._config.daemon.region_domains) - {self.domain}
     is_any_region = random.random() < ALL_REGIONS_SHARE
     domains = (
@@ -445,7 +499,7 @@
       try:
         await self.refresh_roster()
       except errors.WoadrunError as error:
-        log.debug('Roster read failed: %s', error)
+        log.debug('Cannot read the roster: %s', error)
 
   def _get_read_interval(self) -> float:
     return max(1.0, len(self.roster.incarnations) / ROSTER_READS_PER_SECOND)
@@ -472,13 +526,18 @@
         timeout=self._config.timing.heartbeat,
       )
     except errors.WoadrunError as error:
-      log.debug('Roster not sent to a member: %s', error)
+      log.debug('Cannot send the roster to %s: %s', address, error)
 
   async def _try_fetch(self, domain: str, address: str) -> None:
     try:
       await self.fetch(domain, address)
     except errors.WoadrunError as error:
-      log.debug('Roster fetch failed: %s', error)
+      log.debug(
+        'Cannot fetch the roster of domain %s from %s: %s',
+        domain,
+        address,
+        error,
+      )
 
   # --- Joining and leaving --------------------------------------------------
 
@@ -487,7 +546,10 @@
     return self.roster.incarnations.get(self.address) == self.incarnation
 
   async def join(self) -> None:
-    """Adds this process to the roster."""
+    """Adds this process to the roster, where it holds no slots yet.
+
+    Raises a platform error if the table service cannot be reached.
+    """
     await self.update_roster(
       lambda current: roster.with_member(
         current, self.address, self.incarnation
@@ -496,7 +558,11 @@
     log.info('Joined failure domain %s as %s.', self.domain, self.address)
 
   async def leave_domain(self) -> None:
-    """Removes this process from the roster."""
+    """Removes this process from the roster; its slots pass to their standbys.
+
+    Has no effect if the roster lists another process at this address.  Raises a
+    platform error if the table service cannot be reached.
+    """
 
     def without(current: roster.Roster) -> roster.Roster | None:
       if current.incarnations.get(self.address) != self.incarnation:
--- a/src/woadrun/process/node.py
+++ b/src/woadrun/process/node.py
@@ -1,7 +1,15 @@
 """One daemon on a platform that provides routes and upstreams through feeds.
 
-The daemon holds no durable state.  The platform-specific parts are injected:
-the store, the transport of requests to instances, and the decoding of rows.
+A feed delivers a table of the platform's row store ("the store"): a full list
+of the rows first, then each change.  The daemon sends the requests of callers
+to instances, the running processes of upstreams.  A program is a series of
+turns, requests that share a budget of tokens and a history; the store keeps
+both.  A standby is a second daemon that holds a copy of a program, so that
+turns can go on while the store is unavailable.
+
+The daemon holds no durable state of its own.  The platform-specific parts are
+injected: the store, the transport of requests to instances, and the decoding of
+rows.
 """
 
 from __future__ import annotations
@@ -53,25 +61,29 @@
 
 log = logging.getLogger('woadrun.node')
 
-# Limit of the connections to peers, the store and upstreams, because file
+# Maximum total of connections to peers, the store and upstreams, because file
 # descriptors are limited.
 MAX_CONNECTIONS = 3000
-# Keep-alive timeout of an idle connection to an upstream.  A request on a
+# Time after which an idle connection to an upstream is closed.  A request on a
 # connection that the upstream is just closing is lost.
 KEEPALIVE_TIMEOUT_SECONDS = 4.0
-# Timeout of a call of the store.  A turn gains less from a store that takes
-# longer than from the acknowledgement of the standby.
+# Timeout of a call to the store.  If the store takes longer, a turn is served
+# better by the acknowledgement of the standby.
 STORE_TIMEOUT_SECONDS = 0.8
-# Delay before listeners close at a planned stop: the load balancer checks
-# readiness every second and removes a daemon after two failed checks.
+# Time from the start of a planned stop until listeners may close: the load
+# balancer checks readiness every second and removes a daemon after two failed
+# checks.
 DRAIN_DELAY_SECONDS = 2.5
-# Margin before the platform kills the process.
+# Margin between the end of a planned stop and the moment at which the platform
+# kills the process.
 KILL_MARGIN_SECONDS = 0.3
 # Time for storing unsaved turns at the end of a planned stop.
 FLUSH_TIMEOUT_SECONDS = 0.5
 FLUSH_RETRY_DELAY_SECONDS = 0.05
-# Maximum size of a message between daemons, enough for a long history.
+# Maximum size of a message between daemons, enough for the turns of a long
+# history.
 MAX_PEER_MESSAGE_BYTES = 64 * 1024 * 1024
+# Interval between removals of the measurements of instances that are gone.
 CLEANUP_INTERVAL_SECONDS = 1.0
 # Codec of messages between daemons.  They carry turns as bytes, which JSON
 # would enlarge by a third.
@@ -82,10 +94,14 @@
 class NodeSettings:
   """Location and limits of the daemon.
 
-  Addresses are IP:PORT, times in seconds.  `row_bytes` is the maximum size of a
-  row.  `grace` is the time from the start of a planned stop until the platform
-  kills the process.  `revocation` is the time for which a key may be used after
-  it was revoked, also by daemons that are cut off; None if that is not bounded.
+  Addresses are IP:PORT, times in seconds.  `domain` is the failure domain of
+  the daemon.  It listens for callers, readiness checks and peers at
+  `callers_address`, `ready_address` and `peers_address`.  `row_bytes` is the
+  maximum size of a row of the store.  `grace` is the time from the start of a
+  planned stop until the platform kills the process, which is another period
+  than `Binding.grace`.  `revocation` is the time for which a key of a team
+  may be used after it was revoked, also at daemons that are cut off; None if
+  that is not bounded.
   """
 
   name: str
@@ -103,8 +119,11 @@
 class Binding:
   """The parts that a platform adapter provides.
 
-  `grace` is the time in seconds within which an instance whose entry expired
-  while the store was unavailable may register again.
+  `table_key` is the key of the row with the routing table, `instance_table` the
+  table of the instances.  `decode_table` and `decode_instance` raise
+  `msgspec.MsgspecError` for a row that they cannot decode.  `grace` is the time
+  in seconds within which an instance whose entry expired while the store was
+  unavailable may register again.
   """
 
   addresses: tcp_connections.Addresses
@@ -121,7 +140,10 @@
 
 
 class Node(mode.Service):
-  """The services of one daemon process."""
+  """The services of one daemon process.
+
+  The listeners for callers and for readiness checks are not among them.
+  """
 
   def __init__(
     self,
@@ -257,16 +279,20 @@
     return self.fleet.is_leaving
 
   def is_ready(self) -> bool:
-    """Returns whether the daemon accepts new requests."""
+    """Returns whether the load balancer may send new requests.
+
+    That is the case once routes and instances are known, until a planned stop.
+    """
     return self.catalogue.is_known and not self.is_leaving
 
   def _get_outage(self) -> float:
     return max(self.store.outage, self.fleet.get_domain_silence_seconds())
 
   def _is_cut_off(self, domain: str) -> bool:
+    # Returns whether a network partition separates this daemon from a domain.
     # A daemon that can reach the store keeps waiting for an instance in a
-    # domain that is cut off: the instance may be healthy, and its callers
-    # decide how long to wait.
+    # domain that is silent: the instance may be healthy, and the callers decide
+    # how long to wait.
     return not self.store.is_reachable and self.fleet.is_silent(domain)
 
   def _read_gauges(self) -> dict[str, float]:
@@ -307,7 +333,8 @@
 
   def _take_beat(self, heartbeat: fleet_heartbeats.FleetHeartbeat) -> None:
     if self.fleet.is_full_mesh:
-      # In large fleets, digests carry the sums.
+      # In large fleets, the digests of failure domains carry the sums of these
+      # counts.
       self.loads.take_beat(heartbeat)
     elif heartbeat.elsewhere is not None:
       self.loads.record_other_domains(heartbeat.elsewhere)
@@ -380,7 +407,8 @@
   async def leave(self) -> None:
     """Starts a planned stop; returns when listeners may be closed.
 
-    The load balancer sends no new requests then.
+    The load balancer sends no new requests by then.  A failure to remove this
+    daemon's row from the store is only logged.
     """
     self.fleet.is_leaving = True
     started = time.monotonic()
@@ -397,7 +425,10 @@
     await asyncio.sleep(max(0.0, delay))
 
   async def finish(self) -> None:
-    """Flushes unsaved turns to the store after the last request."""
+    """Flushes unsaved turns to the store after the last request.
+
+    Returns once none is left, or gives up after FLUSH_TIMEOUT_SECONDS.
+    """
     deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
     while (
       not await self.programs.flusher.flush() and time.monotonic() < deadline
@@ -409,19 +440,26 @@
 
 
 def get_request_grace_seconds(config: NodeSettings) -> float:
-  """Returns the seconds for running requests to finish at a planned stop."""
+  """Returns the seconds for running requests to finish at a planned stop.
+
+  They begin once the listeners are closed.  Returns 0 if the platform's grace
+  period leaves no time.
+  """
   reserved = DRAIN_DELAY_SECONDS + FLUSH_TIMEOUT_SECONDS + KILL_MARGIN_SECONDS
   return max(0.0, config.grace - reserved)
 
 
 async def listen(runner: web.BaseRunner, address: str) -> None:
-  """Listens at IP:PORT."""
+  """Listens at IP:PORT; raises `OSError` if the address cannot be bound."""
   host, port = endpoints.split(address)
   await web.TCPSite(runner, host, port, reuse_address=True).start()
 
 
 def make_request_factory(max_bytes: int) -> Callable[..., web.BaseRequest]:
-  """Returns the request factory of aiohttp with a maximum body size."""
+  """Returns a request factory for aiohttp that limits the body size.
+
+  Reading a larger body raises `web.HTTPRequestEntityTooLarge`.
+  """
 
   def make(*parts: Any) -> web.BaseRequest:
     message, payload, protocol, writer, task = parts
--- a/src/woadrun/process/program_rows.py
+++ b/src/woadrun/process/program_rows.py
@@ -1,4 +1,12 @@
-"""Programs as rows of the store, and as entries in a daemon's memory."""
+"""Programs as rows of the store, and as entries in a daemon's memory.
+
+A program is a series of turns, model requests that share a budget of tokens.
+Its ledger has the tokens of settled turns, which have ended, and the tokens
+reserved for running ones.  The daemon that decides on a program's turns is its
+owner, a member of the program's home domain, which is the failure domain that
+serves the program while the store is unavailable.  Another daemon may become
+owner at any time, so each write is conditional on the row's version.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +31,9 @@
 log = logging.getLogger('woadrun.programs')
 
 TABLE = 'programs'
-# Minimum interval between two reads of a row because a turn does not fit the
-# budget: other daemons settle ended turns within this time.
+# Minimum interval between two reads of a row for turns that do not fit the
+# budget.  Other daemons settle ended turns, which may free tokens, within about
+# this time.
 REFRESH_INTERVAL_SECONDS = 1.0
 
 
@@ -32,23 +41,29 @@
 class Entry:
   """A program in memory.
 
+  Spending is in tokens, settled and reserved; times are on the monotonic clock.
+  `lock` is held while a reservation is decided with the store, and while the
+  row is flushed.
   `unconfirmed_writes` are the ids of writes that may have been applied although
   no answer arrived.  `offline_known` is the spending that other domains know
-  while the store is unreachable; this domain may spend a share of the rest.
-  `min_reported_spent` is the lowest spending reported to other domains since
-  they were last asked to count it; `report_lock` is held meanwhile.
-  `home_copy` is the latest copy from the home domain if that is another one;
-  the store may lack what it holds.  `uninformed_domains` are the other domains
-  that may not know a program that started here.  `partition_limit` bounds the
-  spending of this domain while another domain may spend without the store.
-  `needs_flush` says that the row should be written without waiting for the next
-  call.  `is_copy` says that the latest update came from another daemon;
-  `local_decisions` has the turns that this daemon decided on itself and that
-  the row does not count yet.  `is_unverified` says that neither the store nor a
-  daemon was asked yet whether the program is new.  Until
-  `undetected_partition_until`, on the monotonic clock, a network partition may
-  have begun undetected and the program may have started in another domain too.
-  `prefixes` records which instances read which prompts.
+  while the store is unreachable, None until it is determined; this domain may
+  spend a share of the rest of the budget.  `min_reported_spent` is the lowest
+  spending reported to other domains since this daemon last began to have them
+  count it; `report_lock` is held while they are asked.  `home_copy` is the
+  latest copy from the home domain if that is another one; the store may lack
+  what it holds.  `uninformed_domains` are the other domains that may not know a
+  program that started here.  `partition_limit` is the total up to which this
+  domain may spend while another domain may spend without this one knowing, None
+  if none does.  `needs_flush` says that the row should be written without
+  waiting for the next call.  `is_copy` says that the latest update came from
+  another daemon; `local_decisions` has the request ids of turns that this
+  daemon decided on itself and that the row does not count yet.  `is_unverified`
+  says that neither the store nor a daemon was asked yet whether the program is
+  new.  Until `undetected_partition_until`, a network partition may have begun
+  undetected and the program may have started in another domain too.
+  `refreshed_at` is the time of the last `ProgramRows.refresh`, `used_at` that
+  of the last call.  `prefixes` records which instances read which prompts,
+  `spending` the recent values of the settled tokens.
   """
 
   program: str
@@ -91,7 +106,8 @@
   def note_reported(self) -> None:
     """Records that the current spending is sent to other domains.
 
-    It may be lower than what they were sent before, once a turn has ended.
+    It may be lower than what they were sent before: a turn that ends with fewer
+    tokens than were reserved for it reduces the spending.
     """
     spent = self.ledger.spent
     self.min_reported_spent = min(self.min_reported_spent, spent)
@@ -121,7 +137,8 @@
   def make(self, *, is_split: bool = False) -> ledger.Ledger:
     """Returns the ledger of a program that starts in this domain.
 
-    With `is_split` the program may have started in another domain too.
+    With `is_split` the program may have started in another domain too.  The
+    ledger has version 0: there is no row yet.
     """
     row = ledger.LedgerRow(home=self._domain, is_split=is_split)
     return ledger.Ledger(saved=row, version=0)
@@ -131,7 +148,10 @@
   ) -> ledger.Ledger:
     """Returns the ledger of a program as stored.
 
-    A program without a row is new, as with `make`.
+    Returns the result of `make` if the program has no row; `is_split` applies
+    only then.  Turns that the store or the cache has, but the row still has as
+    reserved, are settled in the result.  Raises `errors.WoadrunError` if the
+    store cannot be reached or the row cannot be decoded.
     """
     key = _get_key(program)
     page = await self._store.read(
@@ -158,8 +178,9 @@
   async def refresh(self, entry: Entry) -> None:
     """Reloads an entry from the store if the store can be reached.
 
-    Calls within the refresh interval do nothing: programs that retry in a loop
-    call again and again after their budget is spent.
+    Calls within REFRESH_INTERVAL_SECONDS of the last one do nothing: programs
+    that retry in a loop call again and again after their budget is spent.  A
+    failure is logged.
     """
     now = time.monotonic()
     if now - entry.refreshed_at < REFRESH_INTERVAL_SECONDS:
@@ -168,10 +189,14 @@
     try:
       await self.reload(entry)
     except errors.WoadrunError as error:
-      log.info('Reload of a program failed: %s', error.message)
+      log.info('Cannot reload program %s: %s', entry.program, error.message)
 
   async def reload(self, entry: Entry) -> None:
-    """Reloads an entry from the store; raises if the row cannot be read."""
+    """Applies the stored row to an entry if it is newer.
+
+    Changes of the entry that are not saved yet are kept.  Raises
+    `errors.WoadrunError` if the row cannot be read.
+    """
     found = await self.read(entry.program)
     entry.is_unverified = False
     if found.version > entry.ledger.version:
@@ -182,10 +207,13 @@
         entry.ledger.settle(request, turn.tokens)
 
   async def save(self, entry: Entry) -> bool:
-    """Returns whether the store has the entry's changes after a write attempt.
+    """Writes an entry's row if the row is still the one that is known.
 
-    False means that another daemon changed the row and changes are still to be
-    written.
+    Returns whether the store has all changes of the entry.  False means that
+    another daemon changed the row: the entry is rebased onto that row, and its
+    changes are still to be written by another call.  Raises
+    `errors.WoadrunError` if the store cannot be reached, in which case the
+    write may have been applied, or if the row cannot be decoded.
     """
     held = entry.ledger
     write = secrets.token_hex(4)
@@ -223,7 +251,8 @@
   def _apply_conflict(self, entry: Entry, outcome: rows.Outcome) -> None:
     current = outcome.rows[0] if outcome.rows else None
     if current is None or not current.version:
-      # The row existed before and is gone: it is treated as new.
+      # The row was there before and is gone, usually because it expired: the
+      # program is treated as new.
       row = ledger.LedgerRow(home=entry.ledger.home)
       entry.ledger.rebase(row, 0)
       return
@@ -233,7 +262,7 @@
       self._note_saved(entry)
       return
     log.info(
-      'Program %s was changed by another daemon: row %d, expected %d.',
+      'Program %s was changed by another daemon: row version %d, expected %d.',
       entry.program,
       current.version,
       entry.ledger.version,
@@ -249,7 +278,8 @@
   try:
     return msgspec.json.decode(value, type=ledger.LedgerRow)
   except msgspec.MsgspecError as error:
-    # Another writer's format: the spending of the program is unknown.
+    # The row was written in another format.  The spending of the program is
+    # unknown, so it must not count as a new one.
     log.error('Cannot decode the row of a program: %s', error)
     raise errors.WoadrunError(
       errors.Code.PLATFORM_UNAVAILABLE,
