--- a/bench/faults/fleet.py
+++ b/bench/faults/fleet.py
@@ -154,7 +154,7 @@
       d.is_ready()
       and d.store.is_direct
       and len(d.fleet.member_by_name) == len(self.names)
-      and d.fleet.is_settled
+      and d.fleet.is_store_current
       for d in daemons
     )
 
--- a/src/woadrun/cli/demo.py
+++ b/src/woadrun/cli/demo.py
@@ -91,7 +91,7 @@
 async def _wait_ready(started_daemons: list[daemon.Daemon]) -> None:
   deadline = time.monotonic() + START_TIMEOUT_SECONDS
   while not all(
-    service.held.owned_slot_by_number for service in started_daemons
+    service.ownership.owned_slot_by_number for service in started_daemons
   ):
     if time.monotonic() > deadline:
       raise errors.WoadrunError(
--- a/src/woadrun/model/engines.py
+++ b/src/woadrun/model/engines.py
@@ -30,25 +30,25 @@
 class Waste:
   """Wasted and useful cache memory, in token-seconds.
 
-  `gone` is memory held after the end of the program, `unused` memory of
-  running programs that was dropped before its next use, and `useful` memory
+  `held_after_end` is memory held after the end of the program, `unused` memory
+  of running programs that was dropped before its next use, and `useful` memory
   whose prefix was used again.
   """
 
-  gone: float = 0.0
+  held_after_end: float = 0.0
   unused: float = 0.0
   useful: float = 0.0
 
   def add(self, other: Waste) -> None:
     """Adds the amounts of another engine."""
-    self.gone += other.gone
+    self.held_after_end += other.held_after_end
     self.unused += other.unused
     self.useful += other.useful
 
   @property
   def total(self) -> float:
     """Returns all wasted memory."""
-    return self.gone + self.unused
+    return self.held_after_end + self.unused
 
 
 class EngineModel:
@@ -116,7 +116,7 @@
     self._cached_tokens -= prefix.tokens
     ended_at = now if prefix.ended_at is None else prefix.ended_at
     self.waste.unused += (ended_at - prefix.used_at) * prefix.tokens
-    self.waste.gone += (now - ended_at) * prefix.tokens
+    self.waste.held_after_end += (now - ended_at) * prefix.tokens
 
   def fail(self, now: float) -> None:
     """Fails the engine; its running calls and its cache are lost."""
--- a/src/woadrun/model/report.py
+++ b/src/woadrun/model/report.py
@@ -89,7 +89,7 @@
     p50=get_quantile(latencies, 0.5),
     p95=get_quantile(latencies, 0.95),
     p99=get_quantile(latencies, 0.99),
-    gone=sum(r.waste.gone for r in results) / count / 1e6,
+    gone=sum(r.waste.held_after_end for r in results) / count / 1e6,
     unused=sum(r.waste.unused for r in results) / count / 1e6,
     useful=sum(r.waste.useful for r in results) / count / 1e6,
     refusals=sum(r.refusals for r in results) // count,
--- a/src/woadrun/process/cache_reconciler.py
+++ b/src/woadrun/process/cache_reconciler.py
@@ -39,15 +39,15 @@
     self,
     *,
     members: membership.Membership,
-    links: peers.Peers,
-    held: ownership.Ownership,
+    messenger: peers.Peers,
+    ownership: ownership.Ownership,
     permits: dispatcher.PermitDispatcher,
     engine_client_by_name: dict[str, engine.Engine],
   ) -> None:
     super().__init__()
     self._members = members
-    self._peers = links
-    self._held = held
+    self._peers = messenger
+    self._ownership = ownership
     self._permits = permits
     self._engine_by_name = engine_client_by_name
     self._gone_checks: dict[tuple[str, str], int] = {}
@@ -138,10 +138,10 @@
 
   def _is_gone(self, name: str) -> bool:
     _, slot = calls.split_program_id(name)
-    holding = self._held.owned_slot_by_number.get(slot)
-    if holding is None:
+    owned_slot = self._ownership.owned_slot_by_number.get(slot)
+    if owned_slot is None:
       return False
-    found = holding.state.program_by_id.get(name)
+    found = owned_slot.state.program_by_id.get(name)
     return found is None or bool(found.ended)
 
   def dump(self) -> dict[str, object]:
--- a/src/woadrun/process/catalogue.py
+++ b/src/woadrun/process/catalogue.py
@@ -49,12 +49,12 @@
 class Catalogue(mode.Service):
   """The current routing table and the live instances.
 
-  `decode_table` and `decode_instance` raise `msgspec.MsgspecError` for a
-  row that they cannot decode.  `grace` is the time in seconds within which an
-  entry that expired while the store was unavailable may be registered again.
-  `unreadable` counts the instance rows that could not be decoded.  `revocation`
-  is the time in seconds for which a key may be used after it is revoked, None
-  if that is not bounded.  `clock` is the store's clock.
+  `decode_table` and `decode_instance` raise `msgspec.MsgspecError` for a row
+  that they cannot decode.  `grace` is the time in seconds within which an entry
+  that expired while the store was unavailable may be registered again.
+  `undecodable_rows` counts the instance rows that could not be decoded.
+  `revocation` is the time in seconds for which a key may be used after it is
+  revoked, None if that is not bounded.  `clock` is the store's clock.
   """
 
   def __init__(
@@ -78,7 +78,7 @@
     self._grace = grace
     self.table: routes.RoutingTable | None = None
     self.directory = instances.Directory(grace=grace)
-    self.unreadable = 0
+    self.undecodable_rows = 0
     self._started_at = math.inf
     self._known_event = asyncio.Event()
     wait = feed.LONG_POLL_TIMEOUT_SECONDS
@@ -183,7 +183,7 @@
       return True
     if self._has_undecodable_table:
       return False
-    return self.age.get() <= self._revocation - AGE_MARGIN_SECONDS
+    return self.age.get_age_seconds() <= self._revocation - AGE_MARGIN_SECONDS
 
   def get_confirmation(self) -> tuple[float, int] | None:
     """Returns the time up to which the known changes are complete.
@@ -193,7 +193,7 @@
     """
     if self._revocation is None or not self.age.is_known:
       return None
-    return self.age.confirmed, self._table_feed.changed
+    return self.age.confirmed, self._table_feed.newest_change
 
   def _record_read(self, began: float) -> None:
     self.age.record_read(began)
@@ -277,7 +277,7 @@
     try:
       return self._decode_instance(row)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-      self.unreadable += 1
+      self.undecodable_rows += 1
       log.error('Cannot decode instance row %s: %s', row.key.name, error)
       return None
 
--- a/src/woadrun/process/configuration.py
+++ b/src/woadrun/process/configuration.py
@@ -55,14 +55,14 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    links: peers.Peers,
+    messenger: peers.Peers,
     store: table.Table,
     snapshots: objects.ObjectStore,
   ) -> None:
     super().__init__()
     self._config = config
     self._members = members
-    self._peers = links
+    self._peers = messenger
     self._table = store
     self._snapshots = snapshots
     self.version = 0
--- a/src/woadrun/process/copies.py
+++ b/src/woadrun/process/copies.py
@@ -21,7 +21,7 @@
 log = logging.getLogger('woadrun.ownership')
 
 
-class Copies:
+class SlotCopies:
   """Stores the copies of slots of which this daemon is or becomes standby."""
 
   def __init__(
@@ -68,7 +68,7 @@
       return slots.AckStatus.GAP
     return replica.receive(append, answers=self._answers)
 
-  def learn(self, message: messages.Sync) -> messages.Done:
+  def store_copy(self, message: messages.Sync) -> messages.Done:
     """Stores a copy of a slot of which this daemon is or becomes standby.
 
     The sender treats the records of an acknowledged copy as replicated, so a
@@ -108,7 +108,7 @@
     is_pair = (entry.owner, entry.standby) == (message.sender, self._address)
     return is_pair or message.version.claimer == message.sender
 
-  def forget(self, message: messages.Sync) -> messages.Done:
+  def drop_copy(self, message: messages.Sync) -> messages.Done:
     """Drops a copy at the request of the owner that sent it.
 
     The owner's change of the pair failed, or it chose another standby.
--- a/src/woadrun/process/copy_receiver.py
+++ b/src/woadrun/process/copy_receiver.py
@@ -17,7 +17,7 @@
 log = logging.getLogger('woadrun.programs')
 
 
-class CopyIntake:
+class CopyReceiver:
   """Applies copies on a daemon that is a standby or in another domain.
 
   `entry_by_program`, `cache` and `unsaved` are those of the daemon's own
@@ -39,7 +39,7 @@
     self._copies = copies
     self._domain = domain
 
-  async def tell(
+  async def find_unsaved_copy(
     self, ask: turn_messages.ProgramQuery
   ) -> turn_messages.KnownProgram:
     """Returns what this daemon holds of a program beyond the store."""
--- a/src/woadrun/process/counters.py
+++ b/src/woadrun/process/counters.py
@@ -44,7 +44,7 @@
       registry=self.registry,
     )
 
-  def note_answer(self, kind: str, outcome: str, started: float) -> None:
+  def record_answer(self, kind: str, outcome: str, started: float) -> None:
     """Records an answer and its latency.
 
     `started` is when the request began, on the monotonic clock.
--- a/src/woadrun/process/daemon.py
+++ b/src/woadrun/process/daemon.py
@@ -106,34 +106,40 @@
     config = self.config
     self.vms = vm_list.VmList(config=config, session=self.session)
     self.members = membership.Membership(
-      config=config, rows=self.rows, links=self.links, vms=self.vms
+      config=config, rows=self.rows, messenger=self.links, vms=self.vms
     )
     self.groups = groups.RecordGroups(
       config=config,
       store=self.objects,
       members=self.members,
-      links=self.links,
+      messenger=self.links,
     )
     self.storage = storage.SlotStorage(
       config=config, store=self.objects, writer=self.groups
     )
-    self.held = ownership.Ownership(
-      config=config, members=self.members, links=self.links, store=self.storage
+    self.ownership = ownership.Ownership(
+      config=config,
+      members=self.members,
+      messenger=self.links,
+      store=self.storage,
     )
     self.outage = outage.OutageHandler(
-      config=config, members=self.members, links=self.links, held=self.held
+      config=config,
+      members=self.members,
+      messenger=self.links,
+      ownership=self.ownership,
     )
     self.transitions = transitions.Transitions(
       config=config,
       members=self.members,
-      links=self.links,
-      held=self.held,
+      messenger=self.links,
+      ownership=self.ownership,
       outage_handler=self.outage,
     )
     self.table = configuration.Configuration(
       config=config,
       members=self.members,
-      links=self.links,
+      messenger=self.links,
       store=self.rows,
       snapshots=self.objects,
     )
@@ -141,12 +147,12 @@
   def _build_requests(self) -> None:
     config = self.config
     self.permits = dispatcher.PermitDispatcher(
-      config=config, members=self.members, links=self.links
+      config=config, members=self.members, messenger=self.links
     )
     self.limits = limits.Limits(
       config=config,
       members=self.members,
-      links=self.links,
+      messenger=self.links,
       get_row=lambda key: self.table.row_by_key.get(key),
     )
     self.places = placing.CallPlacer(
@@ -155,7 +161,7 @@
       permits=self.permits,
       row_limits=self.limits,
     )
-    self.back = upstreams.UpstreamCalls(
+    self.upstream_calls = upstreams.UpstreamCalls(
       config=config,
       session=self.session,
       members=self.members,
@@ -164,10 +170,10 @@
     )
     self.caches = cache_reconciler.CacheReconciler(
       members=self.members,
-      links=self.links,
-      held=self.held,
+      messenger=self.links,
+      ownership=self.ownership,
       permits=self.permits,
-      engine_client_by_name=self.back.engine_client_by_name,
+      engine_client_by_name=self.upstream_calls.engine_client_by_name,
     )
 
   def _build_owner(self) -> None:
@@ -175,42 +181,42 @@
     self.runner = runner.CallRunner(
       config=config,
       members=self.members,
-      ownership=self.held,
+      ownership=self.ownership,
       table=self.table,
       messenger=self.links,
       placing=self.places,
-      upstreams=self.back,
+      upstreams=self.upstream_calls,
     )
     self.recovery = recovery.Recovery(
       config=config,
       members=self.members,
-      ownership=self.held,
+      ownership=self.ownership,
       table=self.table,
       messenger=self.links,
       placing=self.places,
-      upstreams=self.back,
+      upstreams=self.upstream_calls,
       runner=self.runner,
     )
     self.owner = owner.ProgramOwner(
       config=config,
-      ownership=self.held,
+      ownership=self.ownership,
       configuration=self.table,
       runner=self.runner,
-      upstreams=self.back,
+      upstreams=self.upstream_calls,
     )
-    self.forward = forwarding.Forwarder(
+    self.forwarding = forwarding.Forwarder(
       config=config,
       members=self.members,
       messenger=self.links,
       local=self.owner,
     )
     self.metrics = metrics.Metrics(config=config.metrics, read=self.get_metrics)
-    self.guard = access.Authenticator(security=config.security)
+    self.authenticator = access.Authenticator(security=config.security)
     self.gateway = gateway.Gateway(
       config=config,
       members=self.members,
-      authenticator=self.guard,
-      forwarding=self.forward,
+      authenticator=self.authenticator,
+      forwarding=self.forwarding,
     )
 
   def _get_services(self) -> tuple[mode.Service, ...]:
@@ -219,17 +225,17 @@
       self.members,
       self.groups,
       self.storage,
-      self.held,
+      self.ownership,
       self.transitions,
       self.table,
       self.permits,
       self.limits,
-      self.back,
+      self.upstream_calls,
       self.caches,
       self.runner,
       self.recovery,
       self.owner,
-      self.forward,
+      self.forwarding,
       self.metrics,
     )
 
@@ -239,9 +245,9 @@
       middlewares=[handle_errors],
     )
     peer = peer_routes.PeerRoutes(
-      guard=self.guard,
+      authenticator=self.authenticator,
       members=self.members,
-      held=self.held,
+      ownership=self.ownership,
       outage_handler=self.outage,
       table=self.table,
       permits=self.permits,
@@ -252,10 +258,10 @@
       writer=self.groups,
     )
     operate = operator_routes.OperatorRoutes(
-      guard=self.guard,
+      authenticator=self.authenticator,
       members=self.members,
       table=self.table,
-      links=self.links,
+      messenger=self.links,
       dump=self.dump,
     )
     for part in (self.gateway, peer, operate):
@@ -333,7 +339,7 @@
 
   async def _hand_over_slots(self, deadline: float) -> None:
     while time.monotonic() < deadline:
-      if await self.transitions.hand_over():
+      if await self.transitions.hand_over_slots():
         return
       await asyncio.sleep(STOP_POLL_INTERVAL_SECONDS)
     log.error('Some slots were not handed over before the deadline.')
@@ -366,19 +372,19 @@
       'gateway': {
         'active': self.gateway.active,
         'served': self.gateway.served,
-        'retries': self.forward.retries,
-        'rejected_tokens': self.guard.rejected,
+        'retries': self.forwarding.retries,
+        'rejected_tokens': self.authenticator.rejected,
       },
       'owner': {
         **self.runner.dump(),
         **self.recovery.dump(),
-        'slots': self.held.dump(),
+        'slots': self.ownership.dump(),
       },
       'dispatcher': {
         'queues': self.permits.dump(),
         'limits': self.limits.dump(),
         'in_use': self.places.dump(),
-        'upstreams': self.back.dump(),
+        'upstreams': self.upstream_calls.dump(),
         'caches': self.caches.dump(),
       },
       'membership': self.members.dump(),
@@ -399,26 +405,26 @@
 
 
 def _count_programs(daemon: Daemon) -> int:
-  held = daemon.held.owned_slot_by_number.values()
-  return sum(len(holding.state.program_by_id) for holding in held)
+  owned_slots = daemon.ownership.owned_slot_by_number.values()
+  return sum(len(owned_slot.state.program_by_id) for owned_slot in owned_slots)
 
 
 # Functions that read the gauges sent to statsd, by name.
 METRICS: dict[str, Callable[[Daemon], float]] = {
   'gateway.active': lambda d: d.gateway.active,
   'gateway.served': lambda d: d.gateway.served,
-  'gateway.retries': lambda d: d.forward.retries,
-  'owner.slots': lambda d: len(d.held.owned_slot_by_number),
+  'gateway.retries': lambda d: d.forwarding.retries,
+  'owner.slots': lambda d: len(d.ownership.owned_slot_by_number),
   'owner.programs': _count_programs,
   'owner.running': lambda d: len(d.runner.execution_by_key),
   'owner.finished': lambda d: d.runner.finished,
   'owner.refused': lambda d: d.runner.refused,
   'ownership.takeovers': lambda d: d.transitions.takeovers,
-  'ownership.forks': lambda d: d.held.forks,
+  'ownership.forks': lambda d: d.ownership.forks,
   'configuration.version': lambda d: d.table.version,
   'storage.pending': lambda d: d.storage.get_pending(),
   'storage.oldest': lambda d: d.storage.get_pending_age(),
-  'upstreams.retries': lambda d: d.back.retries,
+  'upstreams.retries': lambda d: d.upstream_calls.retries,
   'caches.gone_tokens': lambda d: d.caches.gone_tokens,
   'caches.held_tokens': lambda d: d.caches.held_tokens,
 }
--- a/src/woadrun/process/datagram_calls.py
+++ b/src/woadrun/process/datagram_calls.py
@@ -78,30 +78,30 @@
 
   `address` is the address to which peers respond.  Handlers must be idempotent,
   since the same message may be handled twice.  Messages that are too large for
-  a datagram are sent over HTTP by `links`.  `messages` counts the requests that
-  were answered by a datagram.
+  a datagram are sent over HTTP by `messenger`.  `answered_calls` counts the
+  requests that were answered by a datagram.
   """
 
   def __init__(
     self,
     *,
     address: str,
-    sent: datagrams.Datagrams,
-    links: peers.Peers,
+    datagram_socket: datagrams.Datagrams,
+    messenger: peers.Peers,
     handler_by_path: dict[str, peer_messages.Handler],
   ) -> None:
     self._address = address
-    self._datagrams = sent
-    self._links = links
+    self._datagrams = datagram_socket
+    self._links = messenger
     self._handler_by_path = handler_by_path
     # IDs start at a random number so that a restarted process does not accept
     # responses to requests of its previous run.
     self._ids = itertools.count(random.getrandbits(52))
     self._pending_by_id: dict[int, _Pending] = {}
     self._task_by_call: dict[tuple[str, int], asyncio.Task[None]] = {}
-    self.messages = 0
-    sent.handle(datagrams.CALL, self._receive_call)
-    sent.handle(datagrams.RESPONSE, self._receive_response)
+    self.answered_calls = 0
+    datagram_socket.handle(datagrams.CALL, self._receive_call)
+    datagram_socket.handle(datagrams.RESPONSE, self._receive_response)
 
   # --- Requests of this daemon ----------------------------------------------
 
@@ -123,7 +123,7 @@
     if len(body) <= datagrams.MAX_CALL_BYTES and self._datagrams.is_open:
       response = await self._call(address, path, body, timeout)
       if response is not None:
-        self.messages += 1
+        self.answered_calls += 1
         return self._links.decode(response.status, response.body, type)
     left = timeout - (time.monotonic() - started_at)
     return await self._links.post(
--- a/src/woadrun/process/dispatcher.py
+++ b/src/woadrun/process/dispatcher.py
@@ -30,7 +30,7 @@
 log = logging.getLogger('woadrun.dispatcher')
 
 # Estimated duration of a call before the first sample.
-FIRST_SECONDS = 1.0
+INITIAL_CALL_SECONDS = 1.0
 # Weight of a new sample in the moving average of call durations.
 SMOOTHING_FACTOR = 0.1
 # After this many consecutive failures an upstream gets one call at a time.
@@ -72,7 +72,7 @@
   waiting: queue.FairQueue = dataclasses.field(default_factory=queue.FairQueue)
   waiter_by_permit: dict[str, Waiter] = dataclasses.field(default_factory=dict)
   holder_by_permit: dict[str, str] = dataclasses.field(default_factory=dict)
-  seconds: float = FIRST_SECONDS
+  seconds: float = INITIAL_CALL_SECONDS
   failures: int = 0
   last_attempt_at: float = float('-inf')
 
@@ -116,12 +116,12 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    links: peers.Peers,
+    messenger: peers.Peers,
   ) -> None:
     super().__init__()
     self._config = config
     self._members = members
-    self._peers = links
+    self._peers = messenger
     self._address = config.daemon.address
     upstreams = (*config.engines, *config.services)
     self._slots_by_name = {u.name: u.slots for u in upstreams}
@@ -132,7 +132,7 @@
     self._releases_by_keeper: dict[str, list[messages.Release]] = {}
     self.clock: Callable[[], float] = time.monotonic
     members.loads = self.get_loads
-    members.listeners.append(self._on_roster_change)
+    members.own_roster_listeners.append(self._on_roster_change)
     members.any_roster_listeners.append(self._release_dead_holders)
 
   # --- Acquiring permits ----------------------------------------------------
--- a/src/woadrun/process/feed.py
+++ b/src/woadrun/process/feed.py
@@ -64,8 +64,8 @@
   `on_list` is called with all rows whenever the table was read as a whole,
   `on_row` with each change after that.  `regained_at` is the time at which
   contact with the store was last regained, on the monotonic clock.  `version`
-  is the version of the store up to which the table is known, `changed` the
-  version of its newest change, -1 before the first list.  `should_follow`
+  is the version of the store up to which the table is known, `newest_change`
+  the version of its newest change, -1 before the first list.  `should_follow`
   returns whether this daemon should follow the store itself.  `on_change` is
   called after changes received from the store, `on_read` after each of its
   responses with the time at which the call began.  The store delays its
@@ -92,7 +92,7 @@
     self.should_follow: Callable[[], bool] = lambda: True
     self.on_change: Callable[[], None] = lambda: None
     self.version: int | None = None
-    self.changed = -1
+    self.newest_change = -1
     self.is_lost = True
     self.regained_at = float('-inf')
     self._attempt_started_at = float('-inf')
@@ -268,7 +268,7 @@
     """
     if self.version is None:
       self._row_by_name = {row.key.name: packing.pack(row) for row in found}
-      self._history_from = self.changed = version
+      self._history_from = self.newest_change = version
       return True
     listed = {row.key.name for row in found}
     # A list does not say at which version its missing rows were removed; the
@@ -294,7 +294,7 @@
 
   def _store_row(self, row: rows.Row) -> None:
     name = row.key.name
-    self.changed = max(self.changed, row.version)
+    self.newest_change = max(self.newest_change, row.version)
     if not row.is_removed:
       self._tombstone_by_name.pop(name, None)
       self._row_by_name[name] = packing.pack(row)
--- a/src/woadrun/process/feed_sync.py
+++ b/src/woadrun/process/feed_sync.py
@@ -51,7 +51,7 @@
     *,
     feeds: list[feed.Feed],
     members: fleet.Fleet,
-    links: peers.Messenger,
+    messenger: peers.Messenger,
     has_store: Callable[[], bool],
     clock: store_clock.StoreClock,
     age_by_table: Mapping[str, table_age.TableAge] | None = None,
@@ -61,7 +61,7 @@
     self._age_by_table = age_by_table or {}
     self._feed_by_table = {item.table: item for item in feeds}
     self._members = members
-    self._links = links
+    self._links = messenger
     self._has_store = has_store
     self._newer_available = asyncio.Event()
     for item in feeds:
@@ -70,7 +70,7 @@
 
   def get_versions(self) -> dict[str, int]:
     """Returns the version of the newest known change of each table."""
-    return {table: f.changed for table, f in self._feed_by_table.items()}
+    return {table: f.newest_change for table, f in self._feed_by_table.items()}
 
   # --- Who follows the store ------------------------------------------------
 
@@ -94,7 +94,9 @@
 
   # --- Exchange with other daemons ------------------------------------------
 
-  def take_beat(self, heartbeat: fleet_heartbeats.FleetHeartbeat) -> None:
+  def handle_heartbeat(
+    self, heartbeat: fleet_heartbeats.FleetHeartbeat
+  ) -> None:
     """Wakes the catch-up task if a peer has newer changes."""
     if any(
       heartbeat.feeds.get(table, -1) > _get_version(item)
@@ -167,7 +169,7 @@
     )
     is_changed = item.apply_changes(
       feed.Changes(
-        rows=tuple(store_access.get_row(row) for row in reply.rows),
+        rows=tuple(store_access.decode_row(row) for row in reply.rows),
         version=reply.version,
         is_list=reply.is_list,
         regained=reply.regained if self._shares_outage(source) else None,
@@ -189,7 +191,7 @@
       self._clock.record_bounds(reply.clock, began=began, ended=ended)
     age = self._age_by_table.get(table)
     if age and reply.confirmed is not None and reply.version is not None:
-      age.take(reply.confirmed, reply.version)
+      age.record_confirmation(reply.confirmed, reply.version)
 
   def _shares_outage(self, source: fleet_heartbeats.Member) -> bool:
     """Returns whether an outage of the store at a peer applies here as well.
--- a/src/woadrun/process/fleet.py
+++ b/src/woadrun/process/fleet.py
@@ -132,7 +132,7 @@
     self, member: fleet_heartbeats.Member, now: float
   ) -> bool:
     view = self._get_view()
-    if member.name in view.silent or self.is_silent(member.domain):
+    if member.name in view.silent or self.is_domain_silent(member.domain):
       return False
     # While the hubs of its own domain are lost, a daemon presumes the members
     # of that domain alive, until it considers itself cut off.
@@ -142,7 +142,7 @@
       or now - heard_at < OWN_DOMAIN_TIMEOUT_SECONDS
     )
 
-  def is_silent(self, domain: str) -> bool:
+  def is_domain_silent(self, domain: str) -> bool:
     """Returns whether nothing is heard of another domain.
 
     The result is False for the own domain.
@@ -203,7 +203,7 @@
   def find_silent_domains(self) -> list[str]:
     """Returns the other domains of which nothing is heard, sorted."""
     others = sorted(self.domains - {self.me.domain})
-    return [domain for domain in others if self.is_silent(domain)]
+    return [domain for domain in others if self.is_domain_silent(domain)]
 
   def find_unsettled_domains(self) -> set[str]:
     """Returns the other domains with spending that the store may not have.
@@ -247,7 +247,7 @@
     return min(awaited, default=-math.inf)
 
   @property
-  def is_settled(self) -> bool:
+  def is_store_current(self) -> bool:
     """Whether no member may hold data that the store lacks.
 
     This requires that each domain is heard and reports that it holds none.  A
@@ -414,7 +414,7 @@
       self._last_added_at = self._added_at[member.name]
       self._invalidate_view()
 
-  def forget(self, name: str) -> None:
+  def remove_member(self, name: str) -> None:
     """Removes a member that is no longer registered."""
     if name == self.me.name:
       return
@@ -524,7 +524,7 @@
   def _find_remote_hubs(self) -> list[fleet_heartbeats.Member]:
     found = []
     for domain in sorted(self.domains - {self.me.domain}):
-      is_silent = self.is_silent(domain)
+      is_silent = self.is_domain_silent(domain)
       members = [
         member
         for member in self._members.get_all_of(domain).values()
--- a/src/woadrun/process/flusher.py
+++ b/src/woadrun/process/flusher.py
@@ -54,7 +54,7 @@
     self,
     *,
     members: fleet.Fleet,
-    links: peers.Messenger,
+    messenger: peers.Messenger,
     store: store_access.StoreAccess,
     turns: turn_store.TurnStore,
     program_store: program_rows.ProgramRows,
@@ -64,7 +64,7 @@
   ) -> None:
     super().__init__()
     self._members = members
-    self._links = links
+    self._links = messenger
     self._reachable_flushes = 0
     self._store = store
     self._turns = turns
--- a/src/woadrun/process/groups.py
+++ b/src/woadrun/process/groups.py
@@ -81,13 +81,13 @@
     config: settings.Settings,
     store: objects.ObjectStore,
     members: membership.Membership,
-    links: peers.Peers,
+    messenger: peers.Peers,
   ) -> None:
     super().__init__()
     self._config = config
     self._store = store
     self._members = members
-    self._peers = links
+    self._peers = messenger
     self._domain = config.daemon.domain
     self._budget = config.platform.writes_per_second * WRITE_SHARE
     self._pending: list[PendingGroup] = []
--- a/src/woadrun/process/health.py
+++ b/src/woadrun/process/health.py
@@ -92,7 +92,7 @@
       id=id, service=service, at=now
     )
 
-  def note_answer(self, request: object) -> None:
+  def record_response(self, request: object) -> None:
     """Records that the response to a request has begun."""
     now = time.monotonic()
     pending = self._pending_by_request.pop(request)
@@ -133,7 +133,7 @@
 
   # --- Reports --------------------------------------------------------------
 
-  def tell(self) -> dict[str, float]:
+  def report_failures(self) -> dict[str, float]:
     """Returns the failures that this daemon saw, to be sent to peers.
 
     `record_domain_report` subtracts them from the sum of the domain.  Records
@@ -174,7 +174,7 @@
       return 0.0
     return round(min(failures, MAX_FAILURES), 1)
 
-  def take(self, source: str, failing: dict[str, float]) -> None:
+  def record_peer_report(self, source: str, failing: dict[str, float]) -> None:
     """Stores the failures that a peer saw."""
     self._report_by_source[source] = (time.monotonic(), failing)
 
@@ -191,7 +191,7 @@
     }
     self._report_by_source['domain'] = (time.monotonic() - age, others)
 
-  def get(self, id: str) -> float:
+  def get_excess_failures(self, id: str) -> float:
     """Returns the failures at an instance beyond the tolerated ones."""
     now = time.monotonic()
     reported = (
@@ -202,19 +202,20 @@
     total = self._count_own_failures(id, now) + sum(reported)
     return max(0.0, min(MAX_FAILURES, total) - TOLERATED_FAILURES)
 
-  def get_all(self) -> dict[str, float]:
+  def get_all_excess_failures(self) -> dict[str, float]:
     """Returns the failures beyond the tolerated ones, by failing instance."""
     reported = (
       id for _, failing in self._report_by_source.values() for id in failing
     )
     effective = {
-      id: self.get(id) for id in {*self._find_own_failing(), *reported}
+      id: self.get_excess_failures(id)
+      for id in {*self._find_own_failing(), *reported}
     }
     return {id: failures for id, failures in effective.items() if failures}
 
   def log_changes(self) -> None:
     """Logs which instances became avoided and which no longer are."""
-    effective = self.get_all()
+    effective = self.get_all_excess_failures()
     for id in sorted(effective.keys() - self.avoided):
       log.warning('Instance %s is avoided: %.1f failures.', id, effective[id])
     for id in sorted(self.avoided - effective.keys()):
--- a/src/woadrun/process/limits.py
+++ b/src/woadrun/process/limits.py
@@ -109,20 +109,20 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    links: peers.Peers,
+    messenger: peers.Peers,
     get_row: Callable[[str], rows.Row | None],
   ) -> None:
     super().__init__()
     self._domains = config.daemon.region_domains
     self._members = members
-    self._peers = links
+    self._peers = messenger
     self._address = config.daemon.address
     self._get_row = get_row
     self._allocation_by_row: dict[str, Allocation] = {}
     self._borrowed_by_row: dict[str, Borrowed] = {}
     self.loan_requests = 0
     self.clock: Callable[[], float] = time.monotonic
-    members.listeners.append(self._on_roster_change)
+    members.own_roster_listeners.append(self._on_roster_change)
 
   # --- Borrowing ------------------------------------------------------------
 
--- a/src/woadrun/process/loads.py
+++ b/src/woadrun/process/loads.py
@@ -126,12 +126,14 @@
     self._last_sent = self.get_running()
     return self._last_sent
 
-  def take_beat(self, heartbeat: fleet_heartbeats.FleetHeartbeat) -> None:
+  def record_peer_counts(
+    self, heartbeat: fleet_heartbeats.FleetHeartbeat
+  ) -> None:
     """Stores the counts in a peer's datagram."""
     self._counts_by_peer[heartbeat.name] = (time.monotonic(), heartbeat.running)
     if heartbeat.domain == self._domain:
       # An instance may fail for the callers of a single domain only.
-      self.health.take(heartbeat.name, heartbeat.failing)
+      self.health.record_peer_report(heartbeat.name, heartbeat.failing)
 
   def record_domain_counts(self, digest: fleet_heartbeats.Digest) -> None:
     """Stores the counts of a domain, summed over its members."""
@@ -207,7 +209,7 @@
     load = self._load_by_id.setdefault(id, Load())
     load.unreachable_until = time.monotonic() + UNREACHABLE_BACKOFF_SECONDS
 
-  def forget(self, known: Collection[str]) -> None:
+  def drop_unknown(self, known: Collection[str]) -> None:
     """Drops the state of instances that are no longer known.
 
     `known` has the incarnation ids of those that are.  Expired prefixes and
@@ -283,7 +285,8 @@
     candidates = [
       self._make_candidate(
         item,
-        risk=FAILURE_PENALTY_SECONDS * self.health.get(incarnation_id),
+        risk=FAILURE_PENALTY_SECONDS
+        * self.health.get_excess_failures(incarnation_id),
         cached=max(
           cached_by_id.get(incarnation_id, 0),
           self._count_shared_tokens(incarnation_id, parts, now),
@@ -312,11 +315,15 @@
     drawn = random_sampling.draw(
       near, group.all, is_fit=is_fit, pick=random.choice
     )
-    if not any(self.health.get(item.incarnation_id) for item in drawn):
+    if not any(
+      self.health.get_excess_failures(item.incarnation_id) for item in drawn
+    ):
       return drawn
 
     def is_healthy(item: instances.Instance) -> bool:
-      return is_fit(item) and not self.health.get(item.incarnation_id)
+      return is_fit(item) and not self.health.get_excess_failures(
+        item.incarnation_id
+      )
 
     healthy = random_sampling.draw(
       near, group.all, is_fit=is_healthy, pick=random.choice
--- a/src/woadrun/process/membership.py
+++ b/src/woadrun/process/membership.py
@@ -56,14 +56,14 @@
     *,
     config: settings.Settings,
     rows: table.Table,
-    links: peers.Peers,
+    messenger: peers.Peers,
     vms: vm_list.VmList,
   ) -> None:
     super().__init__()
     self._config = config
     self.vms = vms
     self._table = rows
-    self._links = links
+    self._links = messenger
     self.address = config.daemon.address
     self.domain = config.daemon.domain
     self.incarnation = uuid.uuid4().hex[:12]
@@ -75,7 +75,7 @@
     )
     self.roster = self.directory.roster
     self.is_leaving = False
-    self.listeners: list[RosterListener] = []
+    self.own_roster_listeners: list[RosterListener] = []
     # Called when the roster of any domain changes.
     self.any_roster_listeners: list[Callable[[], None]] = []
     self.loads: Callable[[], list[messages.UpstreamLoad]] = list
@@ -199,7 +199,7 @@
       empty=roster.make_empty(self.domain, slots=self._config.daemon.slots),
     )
     self._record_confirmed(started)
-    self.adopt(stored)
+    self.apply_roster(stored)
     is_changed = bool(changed_to) and stored.version == changed_to
     if is_changed and stored.version > before:
       await self._broadcast_roster()
@@ -211,7 +211,7 @@
     row = await self._table.read(ROSTER_TABLE, self.domain)
     self._record_confirmed(started)
     if row is not None:
-      self.adopt(msgspec.json.decode(row.value, type=roster.Roster))
+      self.apply_roster(msgspec.json.decode(row.value, type=roster.Roster))
 
   async def confirm_not_isolated(self) -> None:
     """Returns once it is certain that this daemon is not isolated.
@@ -231,7 +231,7 @@
         retry_after=self._config.timing.silent_after,
       ) from None
 
-  def adopt(self, new: roster.Roster) -> bool:
+  def apply_roster(self, new: roster.Roster) -> bool:
     """Returns whether a roster is newer than the known one, and applies it."""
     if new.domain != self.domain:
       known = self.directory.roster_by_domain.get(new.domain)
@@ -251,13 +251,13 @@
       member: self._target_since.get(member, now)
       for member in self._heartbeat_targets
     }
-    for listener in self.listeners:
+    for listener in self.own_roster_listeners:
       listener(new)
     for notify in self.any_roster_listeners:
       notify()
     return True
 
-  async def fetch(self, domain: str, address: str) -> None:
+  async def fetch_roster(self, domain: str, address: str) -> None:
     """Fetches a domain's roster and claims from a peer; applies newer ones."""
     answer = await self._links.post(
       address,
@@ -267,7 +267,7 @@
       timeout=self._config.timing.silent_after,
     )
     if answer.roster is not None:
-      self.adopt(answer.roster)
+      self.apply_roster(answer.roster)
     for slot, claim in answer.claims.items():
       self.directory.record_claim(domain, slot, claim)
 
@@ -355,7 +355,7 @@
       await self._try_fetch(self.domain, other)
     return answer.is_heard
 
-  def hears(self, address: str) -> bool:
+  def has_recent_heartbeat(self, address: str) -> bool:
     """Returns whether a member sent this daemon a heartbeat recently."""
     heard = self._heard_at.get(address, float('-inf'))
     return time.monotonic() - heard < self._config.timing.silent_after
@@ -388,7 +388,7 @@
     A newer table that its heartbeat reports is fetched as well.
     """
     heartbeat = await self._exchange(address)
-    await self.fetch(heartbeat.domain, address)
+    await self.fetch_roster(heartbeat.domain, address)
 
   async def _try_exchange(self, address: str) -> None:
     try:
@@ -476,7 +476,7 @@
 
   async def _try_fetch(self, domain: str, address: str) -> None:
     try:
-      await self.fetch(domain, address)
+      await self.fetch_roster(domain, address)
     except errors.WoadrunError as error:
       log.debug('Roster fetch failed: %s', error)
 
--- a/src/woadrun/process/node.py
+++ b/src/woadrun/process/node.py
@@ -141,7 +141,7 @@
     )
     self.store_time = store_clock.StoreClock()
     self.store = store_access.StoreAccess(
-      direct=binding.store, links=self.links, store_time=self.store_time
+      direct=binding.store, messenger=self.links, store_time=self.store_time
     )
     self.relay = store_access.StoreRelay(access=self.store)
     self.catalogue = catalogue.Catalogue(
@@ -156,7 +156,7 @@
     )
     self.loads = loads.Loads(
       domain=config.domain,
-      is_silent=lambda domain: self.fleet.is_silent(domain),
+      is_silent=lambda domain: self.fleet.is_domain_silent(domain),
     )
     me = fleet_heartbeats.Member(
       name=config.name, address=config.peers_address, domain=config.domain
@@ -175,22 +175,22 @@
     self._handler_by_path: dict[str, peer_messages.Handler] = {}
     self.calls = datagram_calls.DatagramCalls(
       address=config.peers_address,
-      sent=self.fleet.datagrams,
-      links=self.links,
+      datagram_socket=self.fleet.datagrams,
+      messenger=self.links,
       handler_by_path=self._handler_by_path,
     )
     self.store.use_fleet(self.fleet)
     self.feeds = feed_sync.FeedSync(
       feeds=[*self.catalogue.feeds, self.registration.feed],
       members=self.fleet,
-      links=self.calls,
+      messenger=self.calls,
       has_store=lambda: self.store.is_direct,
       clock=self.store_time,
       age_by_table={binding.table_key.table: self.catalogue.age},
     )
     turns = turn_store.TurnStore(store=self.store, row_bytes=config.row_bytes)
     self.programs = programs.Programs(
-      members=self.fleet, store=self.store, turns=turns, links=self.calls
+      members=self.fleet, store=self.store, turns=turns, messenger=self.calls
     )
     access = authorization.Authorization(catalogue=self.catalogue)
     self.rate_owner = rate_owner.RateOwner(
@@ -261,13 +261,15 @@
     return self.catalogue.is_known and not self.is_leaving
 
   def _get_outage(self) -> float:
-    return max(self.store.outage, self.fleet.get_domain_silence_seconds())
+    return max(
+      self.store.outage_seconds, self.fleet.get_domain_silence_seconds()
+    )
 
   def _is_cut_off(self, domain: str) -> bool:
     # A daemon that can reach the store keeps waiting for an instance in a
     # domain that is cut off: the instance may be healthy, and its callers
     # decide how long to wait.
-    return not self.store.is_reachable and self.fleet.is_silent(domain)
+    return not self.store.is_reachable and self.fleet.is_domain_silent(domain)
 
   def _read_gauges(self) -> dict[str, float]:
     return {
@@ -278,13 +280,13 @@
       'members_known': len(self.fleet.member_by_name),
       'instances_known': len(self.catalogue.directory.by_id),
       'instances_avoided': len(self.loads.health.avoided),
-      'instance_rows_unreadable': self.catalogue.unreadable,
+      'instance_rows_unreadable': self.catalogue.undecodable_rows,
       'rates_kept': len(self.rate_owner),
       'table_version': self.catalogue.version,
-      'table_age_seconds': self.catalogue.age.get(),
+      'table_age_seconds': self.catalogue.age.get_age_seconds(),
       'store_is_direct': self.store.is_direct,
-      'peer_messages': self.links.messages + self.calls.messages,
-      'rows_swept': self.sweeper.removed,
+      'peer_messages': self.links.messages + self.calls.answered_calls,
+      'rows_swept': self.sweeper.removed_rows,
     }
 
   # --- Datagrams between daemons --------------------------------------------
@@ -298,7 +300,7 @@
       feeds=self.feeds.get_versions(),
       is_leaving=self.is_leaving,
       running=self.loads.report_running(),
-      failing=self.loads.health.tell(),
+      failing=self.loads.health.report_failures(),
       silent=tuple(self.fleet.find_silent_domains()),
       is_owing=self.programs.is_owing,
       is_behind=self.programs.is_behind,
@@ -308,23 +310,23 @@
   def _take_beat(self, heartbeat: fleet_heartbeats.FleetHeartbeat) -> None:
     if self.fleet.is_full_mesh:
       # In large fleets, digests carry the sums.
-      self.loads.take_beat(heartbeat)
+      self.loads.record_peer_counts(heartbeat)
     elif heartbeat.elsewhere is not None:
       self.loads.record_other_domains(heartbeat.elsewhere)
-    self.feeds.take_beat(heartbeat)
+    self.feeds.handle_heartbeat(heartbeat)
     if heartbeat.confirmed is not None:
-      self.catalogue.age.take(*heartbeat.confirmed)
+      self.catalogue.age.record_confirmation(*heartbeat.confirmed)
 
   def _take_digest(self, digest: fleet_heartbeats.Digest) -> None:
     self.loads.record_domain_counts(digest)
     if digest.confirmed is not None:
-      self.catalogue.age.take(*digest.confirmed)
+      self.catalogue.age.record_confirmation(*digest.confirmed)
 
   @mode.Service.task
   async def _clean_up_periodically(self) -> None:
     while not self.should_stop:
       await ticks.sleep(CLEANUP_INTERVAL_SECONDS)
-      self.loads.forget(self.catalogue.directory.get_incarnation_ids())
+      self.loads.drop_unknown(self.catalogue.directory.get_incarnation_ids())
       self.loads.health.log_changes()
 
   # --- Messages of peers ----------------------------------------------------
@@ -342,26 +344,26 @@
     await listen(self._runner, self.config.peers_address)
 
   def _list_handlers(self) -> list[tuple[str, Any, Handler]]:
-    intake = self.programs.intake
+    receiver = self.programs.copy_receiver
     return [
-      ('program/open', turn_messages.OpenTurn, self.programs.open),
+      ('program/open', turn_messages.OpenTurn, self.programs.open_turn),
       ('program/open-new', turn_messages.OpenTurn, self._open_new),
-      ('program/close', turn_messages.CloseTurn, self.programs.close),
+      ('program/close', turn_messages.CloseTurn, self.programs.close_turn),
       (
         'program/copy',
         turn_messages.LedgerCopy,
-        intake.handle_copy,
+        receiver.handle_copy,
       ),
       (
         'program/far',
         turn_messages.LedgerCopy,
-        intake.handle_remote_copy,
+        receiver.handle_remote_copy,
       ),
-      ('program/ask', turn_messages.ProgramQuery, intake.tell),
+      ('program/ask', turn_messages.ProgramQuery, receiver.find_unsaved_copy),
       (
         'turns/stored',
         turn_messages.StoredTurnsQuery,
-        intake.find_stored_turns,
+        receiver.find_stored_turns,
       ),
       ('store/change', turn_messages.StoreChange, self.relay.change),
       ('store/read', turn_messages.StoreRead, self.relay.read),
@@ -373,7 +375,7 @@
   async def _open_new(
     self, ask: turn_messages.OpenTurn
   ) -> turn_messages.OpenedTurn:
-    return await self.programs.open(ask, is_new=True)
+    return await self.programs.open_turn(ask, is_new=True)
 
   # --- Stopping -------------------------------------------------------------
 
--- a/src/woadrun/process/operator_routes.py
+++ b/src/woadrun/process/operator_routes.py
@@ -41,16 +41,16 @@
   def __init__(
     self,
     *,
-    guard: access.Authenticator,
+    authenticator: access.Authenticator,
     members: membership.Membership,
     table: configuration.Configuration,
-    links: peers.Peers,
+    messenger: peers.Peers,
     dump: Callable[[], dict[str, Any]],
   ) -> None:
-    self._guard = guard
+    self._guard = authenticator
     self._members = members
     self._table = table
-    self._peers = links
+    self._peers = messenger
     self._dump = dump
 
   def get_routes(self) -> list[web.RouteDef]:
--- a/src/woadrun/process/outage.py
+++ b/src/woadrun/process/outage.py
@@ -38,13 +38,13 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    links: peers.Peers,
-    held: ownership.Ownership,
+    messenger: peers.Peers,
+    ownership: ownership.Ownership,
   ) -> None:
     self._config = config
     self._members = members
-    self._links = links
-    self._ownership = held
+    self._links = messenger
+    self._ownership = ownership
     self._address = config.daemon.address
 
   # --- Handover to standbys while the table is unavailable ------------------
@@ -62,11 +62,11 @@
       if (h := self._ownership.owned_slot_by_number.get(n))
       and h.standby == target
     ]
-    for holding in held:
-      holding.opened.clear()
+    for owned_slot in held:
+      owned_slot.writable.clear()
     try:
-      for holding in held:
-        await slots.wait_until_committed(holding, self._config.timing.commit)
+      for owned_slot in held:
+        await slots.wait_until_committed(owned_slot, self._config.timing.commit)
       await self._ownership.send_running_calls(held, target)
       offer = messages.Offer(
         sender=self._address,
@@ -85,8 +85,8 @@
         )
       self._ownership.release_claimed_slots(taken.version_by_slot)
     finally:
-      for holding in held:
-        holding.opened.set()
+      for owned_slot in held:
+        owned_slot.writable.set()
 
   def accept_offer(self, offer: messages.Offer) -> messages.Offer:
     """Claims offered slots and returns those that this daemon serves."""
@@ -148,13 +148,15 @@
       return
     if await self._members.is_member_reachable(standby):
       return
-    for holding in self._ownership.owned_slot_by_number.values():
-      if holding.standby == standby:
+    for owned_slot in self._ownership.owned_slot_by_number.values():
+      if owned_slot.standby == standby:
         log.warning(
-          'Slot %d continues without its standby %s.', holding.number, standby
+          'Slot %d continues without its standby %s.',
+          owned_slot.number,
+          standby,
         )
-        holding.claim(self._address)
-        holding.settle(holding.state.sequence, slots.Durability.NOWHERE)
+        owned_slot.claim(self._address)
+        owned_slot.settle(owned_slot.state.sequence, slots.Durability.NOWHERE)
 
   # --- Temporary standbys while the table is unavailable --------------------
 
@@ -165,62 +167,64 @@
     be committed with it as well.
     """
     numbers_by_standby: dict[str, list[int]] = {}
-    for number, holding in self._ownership.owned_slot_by_number.items():
+    for number, owned_slot in self._ownership.owned_slot_by_number.items():
       standby = (
-        self._choose_temporary_standby(holding) if holding.is_claimed else ''
+        self._choose_temporary_standby(owned_slot)
+        if owned_slot.is_claimed
+        else ''
       )
-      if standby and standby != holding.standby:
+      if standby and standby != owned_slot.standby:
         numbers_by_standby.setdefault(standby, []).append(number)
     for standby, numbers in sorted(numbers_by_standby.items()):
       await asyncio.gather(
         *(self._replicate_claim(n, standby) for n in numbers)
       )
 
-  def _choose_temporary_standby(self, holding: slots.OwnedSlot) -> str:
+  def _choose_temporary_standby(self, owned_slot: slots.OwnedSlot) -> str:
     unfit = self._members.get_unfit()
     known = self._members.roster
-    entry = known.slots[holding.number]
+    entry = known.slots[owned_slot.number]
     for member in (entry.owner, entry.standby):
       if member not in ('', self._address) and member not in unfit:
         return member
-    if holding.standby and holding.standby not in unfit:
-      return holding.standby
+    if owned_slot.standby and owned_slot.standby not in unfit:
+      return owned_slot.standby
     return roster.choose_standby(
-      known, holding.number, owner=self._address, unfit=unfit
+      known, owned_slot.number, owner=self._address, unfit=unfit
     )
 
   async def _replicate_claim(self, number: int, standby: str) -> None:
-    holding = self._ownership.owned_slot_by_number.get(number)
-    if holding is None or not holding.opened.is_set():
+    owned_slot = self._ownership.owned_slot_by_number.get(number)
+    if owned_slot is None or not owned_slot.writable.is_set():
       return
-    holding.opened.clear()
+    owned_slot.writable.clear()
     try:
-      if holding.standby:
+      if owned_slot.standby:
         # The previous standby gets no further batches.  It must drop its copy
         # so that it cannot take the slot over from an outdated one.
-        await self._release_standby(holding)
-      sequence = holding.state.sequence
-      await self._ownership.send_copy(holding, standby)
-      holding.standby = standby
-      self._ownership.mark_replicated(holding, sequence)
+        await self._release_standby(owned_slot)
+      sequence = owned_slot.state.sequence
+      await self._ownership.send_copy(owned_slot, standby)
+      owned_slot.standby = standby
+      self._ownership.mark_replicated(owned_slot, sequence)
       log.info('Slot %d was copied to temporary standby %s.', number, standby)
     except errors.WoadrunError as error:
       log.debug('Slot %d not copied to temporary standby: %s', number, error)
     finally:
-      holding.opened.set()
+      owned_slot.writable.set()
 
-  async def _release_standby(self, holding: slots.OwnedSlot) -> None:
+  async def _release_standby(self, owned_slot: slots.OwnedSlot) -> None:
     message = messages.Sync(
       sender=self._address,
-      slot=holding.number,
-      version=holding.version,
+      slot=owned_slot.number,
+      version=owned_slot.version,
       state=program.SlotState(),
     )
     await self._links.post(
-      holding.standby,
+      owned_slot.standby,
       'sync/forget',
       message,
       type=messages.Done,
       timeout=FORGET_TIMEOUT_SECONDS,
     )
-    holding.standby = ''
+    owned_slot.standby = ''
--- a/src/woadrun/process/ownership.py
+++ b/src/woadrun/process/ownership.py
@@ -53,18 +53,18 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    links: peers.Peers,
+    messenger: peers.Peers,
     store: storage.SlotStorage,
   ) -> None:
     super().__init__()
     self._config = config
     self._members = members
-    self._links = links
+    self._links = messenger
     self._store = store
     self._answers = config.limits.answers
     self._address = config.daemon.address
     self.owned_slot_by_number: dict[int, slots.OwnedSlot] = {}
-    self.copies = copies.Copies(
+    self.copies = copies.SlotCopies(
       members=members,
       address=self._address,
       answers=self._answers,
@@ -74,19 +74,19 @@
     self._loading: set[int] = set()
     # The epoch, by slot, at which a claimer replaced this daemon as the owner.
     self._yielded_epoch_by_slot: dict[int, int] = {}
-    self.on_slot_owned: OwnedListener = lambda holding: None
+    self.on_slot_owned: OwnedListener = lambda owned_slot: None
     self.get_running: Callable[[int], list[tuple[int, str, str]]] = (
       lambda slot: []
     )
     self.forks = 0
     self.streams = replication.Replication(
       address=self._address,
-      links=links,
+      messenger=messenger,
       timeout=config.timing.commit,
       on_ack=self._handle_ack,
       is_pending=self._is_pending,
     )
-    members.listeners.append(self._on_roster)
+    members.own_roster_listeners.append(self._on_roster)
     members.directory.claims = self.get_claims
 
   async def on_stop(self) -> None:
@@ -95,7 +95,7 @@
 
   # --- Committing -----------------------------------------------------------
 
-  async def open(self, number: int) -> slots.OwnedSlot:
+  async def wait_until_writable(self, number: int) -> slots.OwnedSlot:
     """Returns an owned slot that accepts appends.
 
     Waits while the slot is being loaded, copied or transferred.  Raises
@@ -104,44 +104,44 @@
     """
     deadline = time.monotonic() + self._config.timing.hold
     while True:
-      holding = self.owned_slot_by_number.get(number)
+      owned_slot = self.owned_slot_by_number.get(number)
       is_loading = number in self._loading
-      if holding is not None and holding.opened.is_set():
-        return holding
-      if (holding is None and not is_loading) or time.monotonic() > deadline:
+      if owned_slot is not None and owned_slot.writable.is_set():
+        return owned_slot
+      if (owned_slot is None and not is_loading) or time.monotonic() > deadline:
         raise slots.make_not_owner_error(
           f'Slot {number} is not served by this daemon.'
         )
-      if holding is None:
+      if owned_slot is None:
         await asyncio.sleep(self._config.timing.heartbeat / 10)
         continue
       with contextlib.suppress(asyncio.TimeoutError):
-        await asyncio.wait_for(holding.opened.wait(), 0.5)
+        await asyncio.wait_for(owned_slot.writable.wait(), 0.5)
 
   def append(
-    self, holding: slots.OwnedSlot, records: list[program.Record]
+    self, owned_slot: slots.OwnedSlot, records: list[program.Record]
   ) -> slots.PendingBatch:
     """Applies records to an owned slot and returns their ticket.
 
     The ticket completes once the records are replicated or stored elsewhere.
     """
-    if self.owned_slot_by_number.get(holding.number) is not holding:
+    if self.owned_slot_by_number.get(owned_slot.number) is not owned_slot:
       raise slots.make_not_owner_error(
-        f'Slot {holding.number} has another owner now.'
+        f'Slot {owned_slot.number} has another owner now.'
       )
-    ticket = holding.append(
+    ticket = owned_slot.append(
       records,
       answers=self._answers,
-      written=self._store.get_written_sequence(holding.number),
+      written=self._store.get_written_sequence(owned_slot.number),
     )
     self._store.add(ticket.append)
-    if holding.standby:
-      self.streams.send(holding.standby, ticket.append)
+    if owned_slot.standby:
+      self.streams.send(owned_slot.standby, ticket.append)
     else:
-      self.add_future(self._commit_without_standby(holding, ticket))
+      self.add_future(self._commit_without_standby(owned_slot, ticket))
     return ticket
 
-  async def settle(
+  async def wait_for_commit(
     self, ticket: slots.PendingBatch, *, is_strong: bool
   ) -> None:
     """Returns once a batch is committed.
@@ -166,14 +166,14 @@
         retry_after=retry_after,
       )
 
-  async def confirm(self, holding: slots.OwnedSlot) -> None:
+  async def confirm_ownership(self, owned_slot: slots.OwnedSlot) -> None:
     """Returns once a recent round trip shows that this daemon owns the slot."""
-    age = time.monotonic() - holding.confirmed_at
+    age = time.monotonic() - owned_slot.confirmed_at
     if age > CONFIRMATION_TTL_SECONDS:
-      await self.settle(self.append(holding, []), is_strong=False)
+      await self.wait_for_commit(self.append(owned_slot, []), is_strong=False)
 
   async def _commit_without_standby(
-    self, holding: slots.OwnedSlot, ticket: slots.PendingBatch
+    self, owned_slot: slots.OwnedSlot, ticket: slots.PendingBatch
   ) -> None:
     wait = self._config.timing.commit / 2
     if self._members.is_platform_up():
@@ -182,45 +182,45 @@
       except TimeoutError:
         ticket.settle(slots.Durability.NOWHERE)
         return
-      holding.confirmed_at = time.monotonic()
+      owned_slot.confirmed_at = time.monotonic()
       ticket.settle(slots.Durability.PLATFORM)
       return
     ticket.settle(slots.Durability.NOWHERE)
 
   def _is_pending(self, standby: str, append: messages.Append) -> bool:
-    holding = self.owned_slot_by_number.get(append.slot)
+    owned_slot = self.owned_slot_by_number.get(append.slot)
     return (
-      holding is not None
-      and holding.standby == standby
-      and holding.version == append.version
-      and any(t.append.sequence == append.sequence for t in holding.tickets)
+      owned_slot is not None
+      and owned_slot.standby == standby
+      and owned_slot.version == append.version
+      and any(t.append.sequence == append.sequence for t in owned_slot.tickets)
     )
 
   def _handle_ack(self, standby: str, ack: messages.Ack) -> None:
-    holding = self.owned_slot_by_number.get(ack.slot)
-    if holding is None or holding.standby != standby:
+    owned_slot = self.owned_slot_by_number.get(ack.slot)
+    if owned_slot is None or owned_slot.standby != standby:
       return
     if ack.verdict == slots.AckStatus.OK:
-      holding.settle(ack.sequence, self._get_ack_level(holding))
+      owned_slot.settle(ack.sequence, self._get_ack_level(owned_slot))
     elif ack.verdict == slots.AckStatus.GAP:
-      self.add_future(self._resync(holding))
+      self.add_future(self._resync(owned_slot))
     else:
-      holding.fail(
+      owned_slot.fail(
         slots.make_not_owner_error(
           f'Slot {ack.slot} was taken over by another daemon.'
         )
       )
       self.add_future(self._refresh_roster())
 
-  def _get_ack_level(self, holding: slots.OwnedSlot) -> slots.Durability:
+  def _get_ack_level(self, owned_slot: slots.OwnedSlot) -> slots.Durability:
     """Returns the commit level of an acknowledgement by the slot's standby.
 
     While the table is unavailable, only the other daemon of the pair in the
     roster can guarantee that no other daemon serves the slot.
     """
-    entry = self._members.roster.slots[holding.number]
-    is_pair = holding.standby in (entry.owner, entry.standby)
-    is_certain = is_pair or not holding.is_claimed
+    entry = self._members.roster.slots[owned_slot.number]
+    is_pair = owned_slot.standby in (entry.owner, entry.standby)
+    is_certain = is_pair or not owned_slot.is_claimed
     return slots.Durability.STANDBY if is_certain else slots.Durability.HELPER
 
   async def _refresh_roster(self) -> None:
@@ -237,9 +237,9 @@
     A claimed slot is served here although the roster row does not say so.
     """
     return {
-      number: holding.version
-      for number, holding in self.owned_slot_by_number.items()
-      if holding.is_claimed
+      number: owned_slot.version
+      for number, owned_slot in self.owned_slot_by_number.items()
+      if owned_slot.is_claimed
     }
 
   def find_available_slots(self, message: messages.Copies) -> messages.Copies:
@@ -265,40 +265,42 @@
         self._release(number, entry)
 
   def _own(self, number: int, entry: roster.Slot) -> None:
-    holding = self.owned_slot_by_number.get(number)
-    if holding is not None:
-      self._update_pair(holding, entry)
+    owned_slot = self.owned_slot_by_number.get(number)
+    if owned_slot is not None:
+      self._update_pair(owned_slot, entry)
       return
     if self._yielded_epoch_by_slot.get(number) == entry.epoch:
       # The standby claimed the slot and will record that in the table.
       return
     copy = self.copies.pop(number, entry.owner_before)
     if copy is not None:
-      holding = _make_holding(number, entry, copy.state)
-      self._start_serving(holding, copy.tail)
-      self.add_future(self._probe_standby(holding))
+      owned_slot = _make_owned_slot(number, entry, copy.state)
+      self._start_serving(owned_slot, copy.tail)
+      self.add_future(self._probe_standby(owned_slot))
     elif entry.before == 0:
       # No daemon has owned the slot before, so it is empty.
-      self._start_serving(_make_holding(number, entry, program.SlotState()))
+      self._start_serving(_make_owned_slot(number, entry, program.SlotState()))
     elif number not in self._loading:
       self._loading.add(number)
       self.add_future(self._load_from_platform(number))
 
-  def _update_pair(self, holding: slots.OwnedSlot, entry: roster.Slot) -> None:
-    if holding.epoch == entry.epoch:
+  def _update_pair(
+    self, owned_slot: slots.OwnedSlot, entry: roster.Slot
+  ) -> None:
+    if owned_slot.epoch == entry.epoch:
       return
-    holding.version = roster.Version(entry.epoch)
-    holding.standby = entry.standby
-    holding.is_claimed = False
-    standby, sequence = holding.copied_to
+    owned_slot.version = roster.Version(entry.epoch)
+    owned_slot.standby = entry.standby
+    owned_slot.is_claimed = False
+    standby, sequence = owned_slot.copied_to
     if standby and standby == entry.standby:
-      holding.settle(sequence, slots.Durability.STANDBY)
+      owned_slot.settle(sequence, slots.Durability.STANDBY)
     elif entry.standby:
-      self.add_future(self._probe_standby(holding))
-    for ticket in holding.tickets:
-      self.add_future(self._commit_without_standby(holding, ticket))
+      self.add_future(self._probe_standby(owned_slot))
+    for ticket in owned_slot.tickets:
+      self.add_future(self._commit_without_standby(owned_slot, ticket))
 
-  async def _probe_standby(self, holding: slots.OwnedSlot) -> None:
+  async def _probe_standby(self, owned_slot: slots.OwnedSlot) -> None:
     """Sends an empty batch, which a standby without a copy reports as a gap.
 
     The write of a new pair may succeed although its answer is lost and the
@@ -306,63 +308,65 @@
     without calls would stay without a copy, and no daemon could take it over.
     """
     try:
-      current = await self.open(holding.number)
+      current = await self.wait_until_writable(owned_slot.number)
       if current.standby:
         self.append(current, [])
     except errors.WoadrunError as error:
-      log.debug('Standby check of slot %d failed: %s', holding.number, error)
+      log.debug('Standby check of slot %d failed: %s', owned_slot.number, error)
 
   def _start_serving(
-    self, holding: slots.OwnedSlot, tail: Iterable[messages.Append] = ()
+    self, owned_slot: slots.OwnedSlot, tail: Iterable[messages.Append] = ()
   ) -> None:
-    self._store.begin(holding.number, tail)
-    holding.opened.set()
-    self.owned_slot_by_number[holding.number] = holding
-    self.on_slot_owned(holding)
+    self._store.begin_ownership(owned_slot.number, tail)
+    owned_slot.writable.set()
+    self.owned_slot_by_number[owned_slot.number] = owned_slot
+    self.on_slot_owned(owned_slot)
 
   def begin_claim(self, number: int, replica: slots.Replica) -> None:
     """Starts serving a slot from the local replica, without a table write."""
     del self.replica_by_slot[number]
-    holding = slots.OwnedSlot(
+    owned_slot = slots.OwnedSlot(
       number=number, version=replica.version, standby='', state=replica.state
     )
-    holding.claim(self._address)
-    self._start_serving(holding, replica.tail)
+    owned_slot.claim(self._address)
+    self._start_serving(owned_slot, replica.tail)
 
   def _release(self, number: int, entry: roster.Slot) -> None:
-    holding = self.owned_slot_by_number.get(number)
-    if holding and holding.is_claimed and holding.epoch == entry.epoch:
+    owned_slot = self.owned_slot_by_number.get(number)
+    if owned_slot and owned_slot.is_claimed and owned_slot.epoch == entry.epoch:
       # The roster changed other slots only and does not include the claim yet.
       return
     self.owned_slot_by_number.pop(number, None)
     self._loading.discard(number)
-    if holding is not None:
-      self._stop_serving(holding, entry)
-    if holding is not None and holding.epoch == entry.before:
+    if owned_slot is not None:
+      self._stop_serving(owned_slot, entry)
+    if owned_slot is not None and owned_slot.epoch == entry.before:
       # The storage of this daemon still writes the batches that it has queued
       # for the platform.
-      self.copies.become_standby(number, entry, holding.state)
+      self.copies.become_standby(number, entry, owned_slot.state)
     else:
       self.copies.apply_entry(number, entry)
 
-  def _stop_serving(self, holding: slots.OwnedSlot, entry: roster.Slot) -> None:
-    log.info('Slot %d is now served by %s.', holding.number, entry.owner)
-    if holding.is_claimed and holding.standby != entry.owner:
-      self._record_fork(holding)
-    holding.fail(
+  def _stop_serving(
+    self, owned_slot: slots.OwnedSlot, entry: roster.Slot
+  ) -> None:
+    log.info('Slot %d is now served by %s.', owned_slot.number, entry.owner)
+    if owned_slot.is_claimed and owned_slot.standby != entry.owner:
+      self._record_fork(owned_slot)
+    owned_slot.fail(
       slots.make_not_owner_error(
-        f'Slot {holding.number} has another owner now.'
+        f'Slot {owned_slot.number} has another owner now.'
       )
     )
-    holding.opened.set()
+    owned_slot.writable.set()
 
-  def _record_fork(self, holding: slots.OwnedSlot) -> None:
+  def _record_fork(self, owned_slot: slots.OwnedSlot) -> None:
     # The slot has two divergent histories; neither is discarded silently.
     self.forks += 1
     log.error(
-      'Slot %d has a divergent history at %s.', holding.number, self._address
+      'Slot %d has a divergent history at %s.', owned_slot.number, self._address
     )
-    self.add_future(self._store.store_fork(holding.number, holding.state))
+    self.add_future(self._store.store_fork(owned_slot.number, owned_slot.state))
 
   async def _load_from_platform(self, number: int) -> None:
     # The domain has no copy of the slot.  An owner that is cut off from most of
@@ -379,20 +383,20 @@
     if number in self._loading and entry.owner == self._address:
       self._loading.discard(number)
       log.warning('Slot %d was loaded from the platform.', number)
-      self._start_serving(_make_holding(number, entry, state))
+      self._start_serving(_make_owned_slot(number, entry, state))
 
   # --- Copying ---------------------------------------------------------------
 
   async def send_copy(
-    self, holding: slots.OwnedSlot, standby: str, *, copy_id: str = ''
+    self, owned_slot: slots.OwnedSlot, standby: str, *, copy_id: str = ''
   ) -> None:
     """Sends an owned slot's state to a future standby."""
     message = messages.Sync(
       sender=self._address,
-      slot=holding.number,
-      version=holding.version,
-      state=holding.state,
-      tail=self._store.get_unwritten_batches(holding.number),
+      slot=owned_slot.number,
+      version=owned_slot.version,
+      state=owned_slot.state,
+      tail=self._store.get_unwritten_batches(owned_slot.number),
       copy_id=copy_id,
     )
     await self._post_copy(message, standby)
@@ -438,24 +442,24 @@
       timeout=HANDOVER_TIMEOUT_SECONDS,
     )
 
-  async def _resync(self, holding: slots.OwnedSlot) -> None:
-    if holding.is_resyncing:
+  async def _resync(self, owned_slot: slots.OwnedSlot) -> None:
+    if owned_slot.is_resyncing:
       return
-    holding.is_resyncing = True
-    holding.opened.clear()
-    sequence = holding.state.sequence
+    owned_slot.is_resyncing = True
+    owned_slot.writable.clear()
+    sequence = owned_slot.state.sequence
     try:
-      await self.send_copy(holding, holding.standby)
-      self.mark_replicated(holding, sequence)
+      await self.send_copy(owned_slot, owned_slot.standby)
+      self.mark_replicated(owned_slot, sequence)
     except errors.WoadrunError as error:
-      log.debug('Slot %d not copied to standby: %s', holding.number, error)
+      log.debug('Slot %d not copied to standby: %s', owned_slot.number, error)
     finally:
-      holding.is_resyncing = False
-      holding.opened.set()
+      owned_slot.is_resyncing = False
+      owned_slot.writable.set()
 
-  def mark_replicated(self, holding: slots.OwnedSlot, sequence: int) -> None:
+  def mark_replicated(self, owned_slot: slots.OwnedSlot, sequence: int) -> None:
     """Marks the batches that a copy contains as replicated to the standby."""
-    holding.settle(sequence, self._get_ack_level(holding))
+    owned_slot.settle(sequence, self._get_ack_level(owned_slot))
 
   def release_claimed_slots(self, claims: dict[int, roster.Version]) -> None:
     """Stops serving slots that another daemon claims with a newer version.
@@ -465,12 +469,14 @@
     """
     for number, claim in claims.items():
       self.copies.drop_superseded(number, claim)
-      holding = self.owned_slot_by_number.get(number)
-      if holding is not None and copies.supersedes(claim, holding.version):
+      owned_slot = self.owned_slot_by_number.get(number)
+      if owned_slot is not None and copies.supersedes(
+        claim, owned_slot.version
+      ):
         del self.owned_slot_by_number[number]
         self._yielded_epoch_by_slot[number] = claim.epoch
         entry = roster.Slot(owner=claim.claimer, epoch=claim.epoch)
-        self._stop_serving(holding, entry)
+        self._stop_serving(owned_slot, entry)
 
   # --- Checkpoints ----------------------------------------------------------
 
@@ -493,15 +499,17 @@
     )
 
   async def _checkpoint_all(self) -> None:
-    for number, holding in list(self.owned_slot_by_number.items()):
-      if holding.checkpoint_sequence != holding.state.sequence:
-        sequence = holding.state.sequence
-        await self._store.checkpoint(number, holding.version, holding.state)
-        holding.checkpoint_sequence = sequence
+    for number, owned_slot in list(self.owned_slot_by_number.items()):
+      if owned_slot.checkpoint_sequence != owned_slot.state.sequence:
+        sequence = owned_slot.state.sequence
+        await self._store.checkpoint(
+          number, owned_slot.version, owned_slot.state
+        )
+        owned_slot.checkpoint_sequence = sequence
     known = self._members.roster
     live = set(known.incarnations) - self._members.get_silent()
     if roster.rank('clean', live)[:1] == [self._address]:
-      await self._store.clean(len(known.slots))
+      await self._store.delete_obsolete_objects(len(known.slots))
 
   def dump(self) -> dict[str, object]:
     """Returns the state of the slots as plain data."""
@@ -514,7 +522,7 @@
           'sequence': h.state.sequence,
           'programs': len(h.state.program_by_id),
           'under_way': len(h.tickets),
-          'is_open': h.opened.is_set(),
+          'is_open': h.writable.is_set(),
           'is_claimed': h.is_claimed,
         }
         for n, h in sorted(self.owned_slot_by_number.items())
@@ -526,7 +534,7 @@
     }
 
 
-def _make_holding(
+def _make_owned_slot(
   number: int, entry: roster.Slot, state: program.SlotState
 ) -> slots.OwnedSlot:
   return slots.OwnedSlot(
--- a/src/woadrun/process/peer_routes.py
+++ b/src/woadrun/process/peer_routes.py
@@ -34,9 +34,9 @@
   def __init__(
     self,
     *,
-    guard: access.Authenticator,
+    authenticator: access.Authenticator,
     members: membership.Membership,
-    held: ownership.Ownership,
+    ownership: ownership.Ownership,
     outage_handler: outage.OutageHandler,
     table: configuration.Configuration,
     permits: dispatcher.PermitDispatcher,
@@ -46,9 +46,9 @@
     caches: cache_reconciler.CacheReconciler,
     writer: groups.RecordGroups,
   ) -> None:
-    self._guard = guard
+    self._guard = authenticator
     self._members = members
-    self._held = held
+    self._ownership = ownership
     self._outage = outage_handler
     self._table = table
     self._permits = permits
@@ -60,7 +60,7 @@
 
   def get_routes(self) -> list[web.RouteDef]:
     """Returns the routes for requests from other daemons."""
-    held, local = self._held, self._local
+    held, local = self._ownership, self._local
     handlers: list[tuple[str, Any, MessageHandler]] = [
       ('heartbeat', messages.Heartbeat, self._handle_heartbeat),
       ('alive', messages.LivenessQuery, self._handle_alive),
@@ -68,8 +68,8 @@
       ('roster/put', messages.RosterAnswer, self._adopt_roster),
       ('replicate', messages.Replicate, held.copies.receive),
       ('records', messages.Group, self._groups.merge_and_store),
-      ('sync', messages.Sync, held.copies.learn),
-      ('sync/forget', messages.Sync, held.copies.forget),
+      ('sync', messages.Sync, held.copies.store_copy),
+      ('sync/forget', messages.Sync, held.copies.drop_copy),
       ('copies', messages.Copies, held.find_available_slots),
       ('offer', messages.Offer, self._outage.accept_offer),
       ('handover', messages.Handover, self._recovery.record_handover),
@@ -107,14 +107,14 @@
     self, heartbeat: messages.Heartbeat
   ) -> messages.Heartbeat:
     self._members.record_heartbeat(heartbeat)
-    self._held.release_claimed_slots(heartbeat.claims)
+    self._ownership.release_claimed_slots(heartbeat.claims)
     return self._members.make_heartbeat()
 
   def _handle_alive(
     self, ask: messages.LivenessQuery
   ) -> messages.LivenessAnswer:
     return messages.LivenessAnswer(
-      is_heard=self._members.hears(ask.address),
+      is_heard=self._members.has_recent_heartbeat(ask.address),
       roster_version=self._members.roster.version,
     )
 
@@ -131,7 +131,7 @@
 
   def _adopt_roster(self, message: messages.RosterAnswer) -> messages.Done:
     if message.roster is not None:
-      self._members.adopt(message.roster)
+      self._members.apply_roster(message.roster)
     return messages.Done()
 
   async def _steer(self, steer: calls.ProgramCommand) -> Any:
--- a/src/woadrun/process/program_copies.py
+++ b/src/woadrun/process/program_copies.py
@@ -58,11 +58,11 @@
     self,
     *,
     members: fleet.Fleet,
-    links: peers.Messenger,
+    messenger: peers.Messenger,
     unsaved: unsaved_turns.UnsavedTurns,
   ) -> None:
     self._members = members
-    self._links = links
+    self._links = messenger
     self._unsaved = unsaved
     self._background_tasks: set[asyncio.Task[None]] = set()
     self._backoff_until_by_domain: dict[str, float] = {}
--- a/src/woadrun/process/programs.py
+++ b/src/woadrun/process/programs.py
@@ -62,7 +62,7 @@
     members: fleet.Fleet,
     store: store_access.StoreAccess,
     turns: turn_store.TurnStore,
-    links: peers.Messenger,
+    messenger: peers.Messenger,
   ) -> None:
     super().__init__()
     self._created_at = time.monotonic()
@@ -76,7 +76,7 @@
       store=store, turns=turns, cache=self.cache, domain=members.me.domain
     )
     self._copies = program_copies.Copies(
-      members=members, links=links, unsaved=self.unsaved
+      members=members, messenger=messenger, unsaved=self.unsaved
     )
     self._reservations = reservations.Reservations(
       members=members,
@@ -84,7 +84,7 @@
       rows=self._rows,
       copies=self._copies,
     )
-    self.intake = copy_receiver.CopyIntake(
+    self.copy_receiver = copy_receiver.CopyReceiver(
       entry_by_program=self.entry_by_program,
       cache=self.cache,
       unsaved=self.unsaved,
@@ -93,7 +93,7 @@
     )
     self.flusher = flusher.Flusher(
       members=members,
-      links=links,
+      messenger=messenger,
       store=store,
       turns=turns,
       program_store=self._rows,
@@ -105,13 +105,15 @@
   async def on_start(self) -> None:
     """Registers the handlers for copies and starts the flusher."""
     sent = self._members.datagrams
-    sent.handle(datagrams.PROGRAM_COPY, self.intake.receive_copy)
-    sent.handle(datagrams.REMOTE_PROGRAM_COPY, self.intake.receive_remote_copy)
+    sent.handle(datagrams.PROGRAM_COPY, self.copy_receiver.receive_copy)
+    sent.handle(
+      datagrams.REMOTE_PROGRAM_COPY, self.copy_receiver.receive_remote_copy
+    )
     await self.add_runtime_dependency(self.flusher)
 
   # --- The owner's role -------------------------------------------------------
 
-  async def open(
+  async def open_turn(
     self, ask: turn_messages.OpenTurn, *, is_new: bool = False
   ) -> turn_messages.OpenedTurn:
     """Returns the history of a turn once its tokens are reserved.
@@ -179,7 +181,9 @@
         # retried in a loop got a new budget after each refusal.
         self.entry_by_program.pop(ask.program, None)
 
-  async def close(self, done: turn_messages.CloseTurn) -> turn_messages.Closed:
+  async def close_turn(
+    self, done: turn_messages.CloseTurn
+  ) -> turn_messages.Closed:
     """Settles a turn that has ended.
 
     A turn that is not in the store counts once the standby has acknowledged it.
@@ -245,7 +249,7 @@
   async def _load_entry(
     self, ask: turn_messages.OpenTurn, *, is_new: bool
   ) -> program_rows.Entry:
-    is_settled = self._store.is_reachable and self._members.is_settled
+    is_settled = self._store.is_reachable and self._members.is_store_current
     if is_settled and not ask.parent and ask.begins:
       # A first turn starts a program.  If the program exists already, the
       # failed condition of the first write returns its row, so no read is
@@ -278,7 +282,7 @@
       ledger=self._rows.make(is_split=is_split),
       undetected_partition_until=time.monotonic()
       + PARTITION_DETECTION_SECONDS
-      - self._store.outage,
+      - self._store.outage_seconds,
     )
 
   @property
--- a/src/woadrun/process/registration.py
+++ b/src/woadrun/process/registration.py
@@ -151,4 +151,4 @@
 
   def _forget(self, name: str) -> None:
     self._version_by_name.pop(name, None)
-    self._members.forget(name)
+    self._members.remove_member(name)
--- a/src/woadrun/process/replication.py
+++ b/src/woadrun/process/replication.py
@@ -34,14 +34,14 @@
     self,
     *,
     address: str,
-    links: peers.Peers,
+    messenger: peers.Peers,
     timeout: float,
     on_ack: AckListener,
     is_pending: IsPending,
   ) -> None:
     super().__init__()
     self._address = address
-    self._links = links
+    self._links = messenger
     self._timeout = timeout
     self._on_ack = on_ack
     self._is_pending = is_pending
--- a/src/woadrun/process/reservations.py
+++ b/src/woadrun/process/reservations.py
@@ -258,7 +258,7 @@
     home = held.home
     is_away = home != self._members.me.domain
     if self._members.is_isolated or (
-      is_away and not self._members.is_silent(home)
+      is_away and not self._members.is_domain_silent(home)
     ):
       raise error
 
@@ -300,7 +300,7 @@
         errors.Code.PLATFORM_UNAVAILABLE,
         'The store is unreachable, and the share of the budget for such an '
         'outage is spent.',
-        retry_after=retry_after.estimate_outage(self._store.outage),
+        retry_after=retry_after.estimate_outage(self._store.outage_seconds),
       )
 
   def _fits_offline(
@@ -362,7 +362,9 @@
 
     It is in seconds.
     """
-    return max(self._store.outage, self._members.get_domain_silence_seconds())
+    return max(
+      self._store.outage_seconds, self._members.get_domain_silence_seconds()
+    )
 
   async def _report_spending(self, entry: program_rows.Entry) -> None:
     # A partition is detected a second after it begins.  A home domain that
--- a/src/woadrun/process/slots.py
+++ b/src/woadrun/process/slots.py
@@ -66,7 +66,7 @@
 class OwnedSlot:
   """A slot that this daemon owns.
 
-  While `opened` is not set, the slot accepts no appends because its state is
+  While `writable` is not set, the slot accepts no appends because its state is
   being copied or the slot is being transferred.  `is_claimed` is set if this
   daemon took the slot over, or continues without its standby, while the table
   is unavailable.  `version` then has a higher claim than before.  `copied_to`
@@ -78,7 +78,7 @@
   version: roster.Version
   standby: str
   state: program.SlotState
-  opened: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+  writable: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
   tickets: list[PendingBatch] = dataclasses.field(default_factory=list)
   copied_to: tuple[str, int] = ('', 0)
   is_claimed: bool = False
@@ -90,7 +90,7 @@
     self, records: list[program.Record], *, answers: int, written: int = 0
   ) -> PendingBatch:
     """Applies a batch to the local state and returns its ticket."""
-    if not self.opened.is_set():
+    if not self.writable.is_set():
       raise make_not_owner_error(f'Slot {self.number} is being transferred.')
     self.state.apply(records, answers=answers)
     append = messages.Append(
@@ -186,17 +186,17 @@
   copy_id: str = ''
 
 
-async def wait_until_committed(holding: OwnedSlot, timeout: float) -> None:
+async def wait_until_committed(owned_slot: OwnedSlot, timeout: float) -> None:
   """Returns once all batches of a slot are committed or failed.
 
   Raises `not_committed` if that takes longer than `timeout` seconds.
   """
-  waiting = [ticket.durability for ticket in holding.tickets]
+  waiting = [ticket.durability for ticket in owned_slot.tickets]
   if waiting:
     await asyncio.wait(waiting, timeout=timeout)
-  if any(not ticket.durability.done() for ticket in holding.tickets):
+  if any(not ticket.durability.done() for ticket in owned_slot.tickets):
     raise make_not_committed_error(
-      f'Slot {holding.number} has records that are not committed yet.',
+      f'Slot {owned_slot.number} has records that are not committed yet.',
       retry_after=1.0,
     )
 
--- a/src/woadrun/process/storage.py
+++ b/src/woadrun/process/storage.py
@@ -77,7 +77,7 @@
     self._pending.append(append)
     self._added.set()
 
-  def begin(self, slot: int, tail: Iterable[messages.Append]) -> None:
+  def begin_ownership(self, slot: int, tail: Iterable[messages.Append]) -> None:
     """Starts a slot's ownership and adds what its last owner left to write.
 
     `tail` holds the batches that the last owner may not have written.
@@ -228,7 +228,7 @@
 
   # --- Cleaning -------------------------------------------------------------
 
-  async def clean(self, slots: int) -> int:
+  async def delete_obsolete_objects(self, slots: int) -> int:
     """Deletes the objects that no load needs, and returns their number.
 
     Records are deleted only once all `slots` slots have a checkpoint.
--- a/src/woadrun/process/store_access.py
+++ b/src/woadrun/process/store_access.py
@@ -79,13 +79,13 @@
     self,
     *,
     direct: rows.RowStore,
-    links: peers.Peers,
+    messenger: peers.Peers,
     store_time: store_clock.StoreClock | None = None,
   ) -> None:
     super().__init__()
     self._store_time = store_time or store_clock.StoreClock()
     self.direct = direct
-    self._links = links
+    self._links = messenger
     self._fleet: fleet.Fleet | None = None
     self.is_direct = False
     # Timeouts of the running calls, in the order in which the calls began.
@@ -109,7 +109,7 @@
     return self._fleet.has_peer_with_store()
 
   @property
-  def outage(self) -> float:
+  def outage_seconds(self) -> float:
     """Seconds for which the store has been unreachable, 0 if reachable."""
     if self._unreachable_since is None or self.is_reachable:
       return 0.0
@@ -136,7 +136,7 @@
     return time.monotonic() - oldest
 
   @contextlib.contextmanager
-  def clock(self) -> Iterator[None]:
+  def time_write(self) -> Iterator[None]:
     """Returns a context that measures the duration of a write."""
     began = time.monotonic()
     call = object()
@@ -171,14 +171,14 @@
     )
 
     async def call() -> rows.Outcome:
-      with self.clock():
+      with self.time_write():
         return await self.direct.change(
           writes=writes, removes=removes, conditions=conditions
         )
 
     async def relay(peer: fleet_heartbeats.Member) -> rows.Outcome:
       page = await self._call_peer(peer, 'store/change', message)
-      found = tuple(get_row(row) for row in page.rows)
+      found = tuple(decode_row(row) for row in page.rows)
       return rows.Outcome(
         is_done=page.is_done,
         version=page.version,
@@ -268,7 +268,7 @@
     result = await call()
     if result.clock is not None:
       ended = time.monotonic()
-      self._store_time.note(result.clock, began=began, ended=ended)
+      self._store_time.record_reading(result.clock, began=began, ended=ended)
     return result
 
   async def _call_with_retry(self, call: Callable[[], Awaitable[T]]) -> T:
@@ -388,7 +388,7 @@
   ) -> turn_messages.StorePage:
     """Returns the outcome of a change made for a peer."""
     self._check_available()
-    with self._access.clock():
+    with self._access.time_write():
       outcome = await self._access.direct.change(
         writes=[(_get_key(row), row.value) for row in message.writes],
         removes=[_get_key(row) for row in message.removes],
@@ -437,7 +437,7 @@
   return rows.Key(row.table, row.part, row.name)
 
 
-def get_row(row: turn_messages.StoreRow) -> rows.Row:
+def decode_row(row: turn_messages.StoreRow) -> rows.Row:
   """Returns the row decoded from a message of a peer."""
   return rows.Row(
     key=_get_key(row),
@@ -449,7 +449,7 @@
 
 
 def _decode_page(page: turn_messages.StorePage) -> rows.Page:
-  found = tuple(get_row(row) for row in page.rows)
+  found = tuple(decode_row(row) for row in page.rows)
   return rows.Page(
     rows=found, version=page.version, is_cut=page.is_cut, clock=page.clock
   )
--- a/src/woadrun/process/store_clock.py
+++ b/src/woadrun/process/store_clock.py
@@ -25,7 +25,9 @@
     """Whether there has been any reading of the store's clock."""
     return self._max_offset < math.inf
 
-  def note(self, reading: float, *, began: float, ended: float) -> None:
+  def record_reading(
+    self, reading: float, *, began: float, ended: float
+  ) -> None:
     """Records a reading that was taken between two local times."""
     self.record_bounds((reading, reading), began=began, ended=ended)
 
--- a/src/woadrun/process/sweeper.py
+++ b/src/woadrun/process/sweeper.py
@@ -42,7 +42,7 @@
     super().__init__()
     self._store = store
     self._members = members
-    self.removed = 0
+    self.removed_rows = 0
 
   @mode.Service.task
   async def _sweep_periodically(self) -> None:
@@ -75,7 +75,7 @@
     expired = list(find(page.rows, now))
     for at in range(0, len(expired), MAX_BATCH_ROWS):
       await self._store.change(removes=expired[at : at + MAX_BATCH_ROWS])
-    self.removed += len(expired)
+    self.removed_rows += len(expired)
     if expired:
       log.info(
         'Removed %d rows of part %s of table %s.', len(expired), part, table
--- a/src/woadrun/process/table_age.py
+++ b/src/woadrun/process/table_age.py
@@ -47,7 +47,7 @@
     if bounds is not None:
       self.confirmed = max(self.confirmed, bounds[0])
 
-  def take(self, confirmed: float, version: int) -> None:
+  def record_confirmation(self, confirmed: float, version: int) -> None:
     """Records a confirmation from a peer.
 
     It states that no change after `version` was made before `confirmed`.  It is
@@ -56,7 +56,7 @@
     if self._get_version() >= version:
       self.confirmed = max(self.confirmed, confirmed)
 
-  def get(self) -> float:
+  def get_age_seconds(self) -> float:
     """Returns the most seconds for which the table can have been outdated."""
     now = time.monotonic()
     return min(
--- a/src/woadrun/process/transitions.py
+++ b/src/woadrun/process/transitions.py
@@ -45,15 +45,15 @@
     *,
     config: settings.Settings,
     members: membership.Membership,
-    links: peers.Peers,
-    held: ownership.Ownership,
+    messenger: peers.Peers,
+    ownership: ownership.Ownership,
     outage_handler: outage.OutageHandler,
   ) -> None:
     super().__init__()
     self._config = config
     self._members = members
-    self._links = links
-    self._ownership = held
+    self._links = messenger
+    self._ownership = ownership
     self._outage = outage_handler
     self._address = config.daemon.address
     self._change_lock = asyncio.Lock()
@@ -72,8 +72,8 @@
     ]
     pairs = {h.number: (h.epoch, self._address, standby) for h in held}
     copy_id = secrets.token_hex(4)
-    for holding in held:
-      holding.opened.clear()
+    for owned_slot in held:
+      owned_slot.writable.clear()
     try:
       copied = held if standby else []
       await asyncio.gather(
@@ -81,8 +81,8 @@
           self._ownership.send_copy(h, standby, copy_id=copy_id) for h in copied
         )
       )
-      for holding in held:
-        holding.copied_to = (standby, holding.state.sequence)
+      for owned_slot in held:
+        owned_slot.copied_to = (standby, owned_slot.state.sequence)
       return await self._members.update_roster(
         lambda current: roster.with_pairs(current, pairs)
       )
@@ -90,18 +90,18 @@
       await self._discard_copies(held, standby, copy_id)
       raise
     finally:
-      for holding in held:
-        holding.copied_to = ('', 0)
-        holding.opened.set()
+      for owned_slot in held:
+        owned_slot.copied_to = ('', 0)
+        owned_slot.writable.set()
 
   async def _discard_copies(
     self, held: list[slots.OwnedSlot], standby: str, copy_id: str
   ) -> None:
-    for holding in held if standby else ():
+    for owned_slot in held if standby else ():
       message = messages.Sync(
         sender=self._address,
-        slot=holding.number,
-        version=holding.version,
+        slot=owned_slot.number,
+        version=owned_slot.version,
         state=program.SlotState(),
         copy_id=copy_id,
       )
@@ -126,37 +126,37 @@
     known = self._members.roster
     pairs: dict[int, tuple[int, str, str]] = {}
     await asyncio.gather(*(self._confirm_standby(h) for h in held))
-    for holding in held:
-      holding.opened.clear()
+    for owned_slot in held:
+      owned_slot.writable.clear()
     try:
-      for holding in held:
-        await slots.wait_until_committed(holding, self._config.timing.commit)
+      for owned_slot in held:
+        await slots.wait_until_committed(owned_slot, self._config.timing.commit)
         standby = self._address
         if self._members.is_leaving:
           standby = roster.choose_standby(
-            known, holding.number, owner=target, unfit=unfit
+            known, owned_slot.number, owner=target, unfit=unfit
           )
         if standby and standby != self._address:
-          await self._ownership.send_copy(holding, standby)
-        pairs[holding.number] = (holding.epoch, target, standby)
+          await self._ownership.send_copy(owned_slot, standby)
+        pairs[owned_slot.number] = (owned_slot.epoch, target, standby)
       await self._ownership.send_running_calls(held, target)
       return await self._members.update_roster(
         lambda current: roster.with_pairs(current, pairs)
       )
     finally:
-      for holding in held:
-        holding.opened.set()
+      for owned_slot in held:
+        owned_slot.writable.set()
 
-  async def _confirm_standby(self, holding: slots.OwnedSlot) -> None:
+  async def _confirm_standby(self, owned_slot: slots.OwnedSlot) -> None:
     # The receiver may have missed the change that made it the standby.  It
     # must have the state of the current epoch before it becomes the owner.
-    ticket = self._ownership.append(holding, [])
+    ticket = self._ownership.append(owned_slot, [])
     held = await asyncio.wait_for(
       asyncio.shield(ticket.durability), self._config.timing.commit
     )
     if held is not slots.Durability.STANDBY:
       raise slots.make_not_committed_error(
-        f'Slot {holding.number} has no standby that acknowledges batches.',
+        f'Slot {owned_slot.number} has no standby that acknowledges batches.',
         retry_after=1.0,
       )
 
@@ -366,13 +366,13 @@
     known = self._members.roster
     unfit -= await self._find_reachable_standbys(unfit)
     numbers_by_standby: dict[str, list[int]] = {}
-    for number, holding in self._ownership.owned_slot_by_number.items():
-      if holding.standby and holding.standby not in unfit:
+    for number, owned_slot in self._ownership.owned_slot_by_number.items():
+      if owned_slot.standby and owned_slot.standby not in unfit:
         continue
       choice = roster.choose_standby(
         known, number, owner=self._address, unfit=unfit
       )
-      if choice != holding.standby:
+      if choice != owned_slot.standby:
         numbers_by_standby.setdefault(choice, []).append(number)
     for choice, numbers in numbers_by_standby.items():
       await self._replace_standby(numbers, choice)
@@ -413,7 +413,7 @@
 
   # --- A planned stop -------------------------------------------------------
 
-  async def hand_over(self) -> bool:
+  async def hand_over_slots(self) -> bool:
     """Transfers slots in one round and returns whether none is left.
 
     While the table is available, the roster must name this daemon neither as
@@ -439,8 +439,8 @@
     if self._members.is_platform_up():
       await self._restore_standbys()
     numbers_by_standby: dict[str, list[int]] = {}
-    for number, holding in self._ownership.owned_slot_by_number.items():
-      numbers_by_standby.setdefault(holding.standby, []).append(number)
+    for number, owned_slot in self._ownership.owned_slot_by_number.items():
+      numbers_by_standby.setdefault(owned_slot.standby, []).append(number)
     for target, numbers in sorted(numbers_by_standby.items()):
       if not target or target in unfit:
         continue
--- a/src/woadrun/request/attempts.py
+++ b/src/woadrun/request/attempts.py
@@ -272,7 +272,7 @@
     self._loads.health.record_request(stack, id, sending.instance.service)
     try:
       reply = await stack.enter_async_context(self._upstreams.send(sending))
-      self._loads.health.note_answer(stack)
+      self._loads.health.record_response(stack)
     except BaseException as error:
       await stack.aclose()
       self._record_failure(sending, error)
--- a/src/woadrun/request/authorization.py
+++ b/src/woadrun/request/authorization.py
@@ -121,7 +121,7 @@
   def _check_age(self, granted: Grant) -> None:
     if granted.team is None or self._catalogue.is_fresh():
       return
-    age = self._catalogue.age.get()
+    age = self._catalogue.age.get_age_seconds()
     raise errors.WoadrunError(
       errors.Code.TABLE_TOO_OLD,
       f'The routing table may be {age:.1f} s old: the key may be revoked.',
--- a/src/woadrun/request/forwarding.py
+++ b/src/woadrun/request/forwarding.py
@@ -219,7 +219,7 @@
       if address in (failed_address, self._members.address):
         continue
       with contextlib.suppress(errors.WoadrunError):
-        await self._members.fetch(domain, address)
+        await self._members.fetch_roster(domain, address)
         return
 
   # --- Other daemons --------------------------------------------------------
@@ -321,7 +321,7 @@
     if current_owner in ('', remote_call.address):
       return False
     if remote_call.domain == self._members.domain:
-      return not self._members.hears(remote_call.address)
+      return not self._members.has_recent_heartbeat(remote_call.address)
     return (
       remote_call.address not in self._members.directory.get_known_addresses()
     )
--- a/src/woadrun/request/owner.py
+++ b/src/woadrun/request/owner.py
@@ -60,15 +60,15 @@
   async def start_program(self, start: calls.StartProgram) -> program.Program:
     """Returns a new program, or the one that an equal request started."""
     _, slot = calls.split_program_id(start.program)
-    holding = await self._ownership.open(slot)
+    owned_slot = await self._ownership.wait_until_writable(slot)
     digest = start.get_digest()
-    found = holding.state.program_by_id.get(start.program)
+    found = owned_slot.state.program_by_id.get(start.program)
     if found is not None:
       if found.started.digest != digest:
         raise execution.make_conflict('of the start request')
-      await self._ownership.confirm(holding)
+      await self._ownership.confirm_ownership(owned_slot)
       return found
-    row = self._check_start(start, holding.state)
+    row = self._check_start(start, owned_slot.state)
     now = self.clock()
     deadline = min(start.deadline or row.deadline, row.deadline)
     record = program.Started(
@@ -81,9 +81,9 @@
       digest=digest,
       parent=start.parent,
     )
-    ticket = self._ownership.append(holding, [record])
-    await self._ownership.settle(ticket, is_strong=False)
-    return holding.state.get_program(start.program)
+    ticket = self._ownership.append(owned_slot, [record])
+    await self._ownership.wait_for_commit(ticket, is_strong=False)
+    return owned_slot.state.get_program(start.program)
 
   def _check_start(
     self, start: calls.StartProgram, state: program.SlotState
@@ -108,8 +108,10 @@
     return row
 
   def _count_programs(self) -> int:
-    holdings = self._ownership.owned_slot_by_number.values()
-    return sum(len(holding.state.program_by_id) for holding in holdings)
+    owned_slots = self._ownership.owned_slot_by_number.values()
+    return sum(
+      len(owned_slot.state.program_by_id) for owned_slot in owned_slots
+    )
 
   def _check_parent(
     self, start: calls.StartProgram, state: program.SlotState
@@ -143,10 +145,10 @@
     from the object store.
     """
     _, slot = calls.split_program_id(command.program)
-    holding = await self._ownership.open(slot)
-    await self._ownership.confirm(holding)
+    owned_slot = await self._ownership.wait_until_writable(slot)
+    await self._ownership.confirm_ownership(owned_slot)
     try:
-      return self._get_program(holding.state, command.program, command.teams)
+      return self._get_program(owned_slot.state, command.program, command.teams)
     except errors.WoadrunError:
       archived = await self._upstreams.read_archive(command.program)
       if archived is None:
@@ -163,28 +165,28 @@
     reason they are cancelled.
     """
     _, slot = calls.split_program_id(command.program)
-    holding = await self._ownership.open(slot)
-    found = self._get_program(holding.state, command.program, command.teams)
+    owned_slot = await self._ownership.wait_until_writable(slot)
+    found = self._get_program(owned_slot.state, command.program, command.teams)
     await self._end(slot, command.program, reason)
     return found
 
   async def _end(self, slot: int, program_id: str, reason: str) -> None:
-    holding = await self._ownership.open(slot)
-    for child in _get_children(holding.state, program_id):
+    owned_slot = await self._ownership.wait_until_writable(slot)
+    for child in _get_children(owned_slot.state, program_id):
       await self._end(slot, child, reason)
     if reason != 'ended':
       self._runner.cancel(program_id, reason)
     await self._runner.program_locks.acquire(program_id)
     try:
-      holding = await self._ownership.open(slot)
-      found = holding.state.get_program(program_id)
+      owned_slot = await self._ownership.wait_until_writable(slot)
+      found = owned_slot.state.get_program(program_id)
       if found.ended:
         return
       record = program.Ended(
         program=program_id, reason=reason, time=self.clock()
       )
-      ticket = self._ownership.append(holding, [record])
-      await self._ownership.settle(ticket, is_strong=False)
+      ticket = self._ownership.append(owned_slot, [record])
+      await self._ownership.wait_for_commit(ticket, is_strong=False)
     finally:
       self._runner.program_locks.release(program_id)
     self._upstreams.drop_program_cache(program_id, found.engine)
@@ -202,13 +204,13 @@
     key = (call.program, call.request)
     deadline = time.monotonic() + self._config.timing.hold
     while True:
-      holding = await self._ownership.open(slot)
-      found = self._get_program(holding.state, call.program, call.teams)
+      owned_slot = await self._ownership.wait_until_writable(slot)
+      found = self._get_program(owned_slot.state, call.program, call.teams)
       stored = execution.get_stored_answer(
         found, call, digest, is_stream=is_stream
       )
       if stored is not None:
-        await self._ownership.confirm(holding)
+        await self._ownership.confirm_ownership(owned_slot)
         return stored
       running = self._runner.execution_by_key.get(key)
       if running is not None:
@@ -239,15 +241,18 @@
           await self._sweep_slot(slot)
 
   async def _sweep_slot(self, slot: int) -> None:
-    holding = self._ownership.owned_slot_by_number.get(slot)
-    programs = holding.state.program_by_id if holding else {}
+    owned_slot = self._ownership.owned_slot_by_number.get(slot)
+    programs = owned_slot.state.program_by_id if owned_slot else {}
     now = self.clock()
     for program_id, found in list(programs.items()):
       if found.ended:
-        if now - found.last_active > self._config.timing.keep_ended and holding:
+        if (
+          now - found.last_active > self._config.timing.keep_ended
+          and owned_slot
+        ):
           await self._upstreams.archive(program_id, found)
           self._ownership.append(
-            holding, [program.Forgotten(program=program_id)]
+            owned_slot, [program.Forgotten(program=program_id)]
           )
         continue
       reason = self._find_end_reason(found, now)
--- a/src/woadrun/request/placing.py
+++ b/src/woadrun/request/placing.py
@@ -172,7 +172,7 @@
       slots=load.slots if load else self._get_settings(name).slots,
       running=max(own_calls, load.running if load else 0),
       waiting=load.waiting if load else 0,
-      seconds=load.seconds if load else dispatcher.FIRST_SECONDS,
+      seconds=load.seconds if load else dispatcher.INITIAL_CALL_SECONDS,
       cached=found.history_tokens if found.engine == name else 0,
       is_near=self._is_in_own_domain(name),
     )
--- a/src/woadrun/request/recovery.py
+++ b/src/woadrun/request/recovery.py
@@ -133,8 +133,8 @@
 
   # --- Calls that no daemon executes ----------------------------------------
 
-  def _recover_slot(self, holding: slots.OwnedSlot) -> None:
-    for program_id, found in holding.state.program_by_id.items():
+  def _recover_slot(self, owned_slot: slots.OwnedSlot) -> None:
+    for program_id, found in owned_slot.state.program_by_id.items():
       for request in found.get_running():
         key = (program_id, request.accepted.request)
         if not self._is_handled(key):
@@ -150,8 +150,8 @@
     # or another daemon gave up.
     while not self.should_stop:
       await self.sleep(ORPHAN_SCAN_INTERVAL_SECONDS)
-      for holding in list(self._ownership.owned_slot_by_number.values()):
-        self._recover_slot(holding)
+      for owned_slot in list(self._ownership.owned_slot_by_number.values()):
+        self._recover_slot(owned_slot)
 
   async def _recover(self, key: Key, accepted: program.Accepted) -> None:
     """Starts the execution of a call that a previous owner left unfinished."""
@@ -168,8 +168,8 @@
   def _find_running_attempt(self, key: Key) -> program.Accepted | None:
     """Returns the running attempt of a call, or None if there is none."""
     _, slot = calls.split_program_id(key[0])
-    holding = self._ownership.owned_slot_by_number.get(slot)
-    found = holding.state.program_by_id.get(key[0]) if holding else None
+    owned_slot = self._ownership.owned_slot_by_number.get(slot)
+    found = owned_slot.state.program_by_id.get(key[0]) if owned_slot else None
     request = found.request_by_id.get(key[1]) if found else None
     if request is None or not request.is_running:
       return None
@@ -221,8 +221,8 @@
     self, running: execution.Execution, accepted: program.Accepted
   ) -> None:
     _, slot = calls.split_program_id(accepted.program)
-    holding = await self._ownership.open(slot)
-    found = holding.state.get_program(accepted.program)
+    owned_slot = await self._ownership.wait_until_writable(slot)
+    found = owned_slot.state.get_program(accepted.program)
     row = self._table.get_row(found.started.team, found.started.kind)
     log.info(
       'Resuming request %s of program %s.', accepted.request, accepted.program
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -133,8 +133,8 @@
     _, slot = calls.split_program_id(call.program)
     deadline = time.monotonic() + self._config.timing.hold
     while call.ordinal:
-      holding = await self._ownership.open(slot)
-      last_ordinal = holding.state.get_program(call.program).calls
+      owned_slot = await self._ownership.wait_until_writable(slot)
+      last_ordinal = owned_slot.state.get_program(call.program).calls
       if call.ordinal == last_ordinal + 1:
         return
       if call.ordinal <= last_ordinal or time.monotonic() > deadline:
@@ -146,8 +146,8 @@
   async def _run(self, running: execution.Execution) -> None:
     call = running.call
     _, slot = calls.split_program_id(call.program)
-    holding = await self._ownership.open(slot)
-    found = holding.state.get_program(call.program)
+    owned_slot = await self._ownership.wait_until_writable(slot)
+    found = owned_slot.state.get_program(call.program)
     row = self._check_call(found)
     self._get_retry_budget(row).note_call(row.retry_budget)
     plan = self._places.plan(call, found, row)
@@ -159,8 +159,8 @@
         # An action whose intent is committed must be sent at once, or its
         # outcome is unknown.  The permit is therefore acquired first.
         await self._places.acquire_slot(place, found, row, plan.cost)
-      holding = await self._ownership.open(slot)
-      found = holding.state.get_program(call.program)
+      owned_slot = await self._ownership.wait_until_writable(slot)
+      found = owned_slot.state.get_program(call.program)
       self._check_call(found)
       if call.request in found.request_by_id:
         # While the call waited, the slot may have moved to another owner and
@@ -172,7 +172,7 @@
         call, found, plan, place, running.digest, now=self.clock()
       )
       previous_engine = found.engine
-      ticket = self._ownership.append(holding, [accepted])
+      ticket = self._ownership.append(owned_slot, [accepted])
       running.is_accepted = True
       try:
         await self._settle_and_enter(ticket, accepted, place, found, row, plan)
@@ -199,10 +199,10 @@
     and the wait for the permit run concurrently.
     """
     if not accepted.repeatable:
-      await self._ownership.settle(ticket, is_strong=True)
+      await self._ownership.wait_for_commit(ticket, is_strong=True)
       return
     results = await asyncio.gather(
-      self._ownership.settle(ticket, is_strong=False),
+      self._ownership.wait_for_commit(ticket, is_strong=False),
       self._places.acquire_slot(place, found, row, plan.cost),
       return_exceptions=True,
     )
@@ -303,12 +303,12 @@
 
   def _get_owned_program(self, program_id: str) -> program.Program:
     _, slot = calls.split_program_id(program_id)
-    holding = self._ownership.owned_slot_by_number.get(slot)
-    if holding is None:
+    owned_slot = self._ownership.owned_slot_by_number.get(slot)
+    if owned_slot is None:
       raise slots.make_not_owner_error(
         f'Slot {slot} was handed over to another daemon.'
       )
-    return holding.state.get_program(program_id)
+    return owned_slot.state.get_program(program_id)
 
   def _make_cancelled_record(
     self, running: execution.Execution, accepted: program.Accepted
@@ -384,10 +384,10 @@
   ) -> messages.OutcomeRecorded:
     """Commits the outcome of a call that any daemon executed."""
     record = message.record
-    holding = await self._ownership.open(message.slot)
-    ticket = self._ownership.append(holding, [record])
-    await self._ownership.settle(ticket, is_strong=False)
-    found = holding.state.program_by_id.get(record.program)
+    owned_slot = await self._ownership.wait_until_writable(message.slot)
+    ticket = self._ownership.append(owned_slot, [record])
+    await self._ownership.wait_for_commit(ticket, is_strong=False)
+    found = owned_slot.state.program_by_id.get(record.program)
     # A program that is no longer stored had its outcomes recorded before.
     has_outcome = found is None or found.has_outcome(record)
     if not has_outcome:
--- a/src/woadrun/request/serving.py
+++ b/src/woadrun/request/serving.py
@@ -87,7 +87,7 @@
       raise
     finally:
       self.active -= 1
-      self._counters.note_answer(kind, outcome, started_at)
+      self._counters.record_answer(kind, outcome, started_at)
       log.info(
         'Request %s: %s after %.0f ms%s.',
         request.id,
--- a/src/woadrun/request/turn_client.py
+++ b/src/woadrun/request/turn_client.py
@@ -199,7 +199,7 @@
     # turns that the store lacks.  Asking all members for such turns cost a
     # quarter of all reads in normal operation.
     is_missing = error.code is errors.Code.UNKNOWN_PROGRAM
-    return is_missing and self._members.is_settled
+    return is_missing and self._members.is_store_current
 
   async def _open_in_other_domains(
     self, message: turn_messages.OpenTurn, failure: errors.WoadrunError
@@ -244,7 +244,7 @@
     is_new: bool = False,
   ) -> turn_messages.OpenedTurn:
     if member.name == self._members.me.name:
-      return await self._local_programs.open(message, is_new=is_new)
+      return await self._local_programs.open_turn(message, is_new=is_new)
     path = 'program/open-new' if is_new else 'program/open'
     return await self._post_with_resend(
       member, path, message, turn_messages.OpenedTurn
@@ -330,7 +330,7 @@
     ]:
       try:
         if member.name == self._members.me.name:
-          await self._local_programs.close(message)
+          await self._local_programs.close_turn(message)
         else:
           await self._post_with_resend(
             member, 'program/close', message, turn_messages.Closed
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -132,7 +132,7 @@
     await asyncio.sleep(2 * partition_monitor.POLL_INTERVAL_SECONDS)
     # The silence of the domain alone does not abort the stream: while the store
     # is reachable, the instance may still be healthy.
-    daemon.fleet.is_silent = lambda domain: True
+    daemon.fleet.is_domain_silent = lambda domain: True
     await asyncio.sleep(2 * partition_monitor.POLL_INTERVAL_SECONDS)
     assert not running.done()
     fleet.shared.is_out = True
@@ -148,7 +148,7 @@
     running = asyncio.ensure_future(fleet.turn('n1', 'a'))
     await nodes.wait_until(lambda: daemon.loads.get_running())
     fleet.shared.is_out = True
-    daemon.fleet.is_silent = lambda domain: True
+    daemon.fleet.is_domain_silent = lambda domain: True
     with pytest.raises(errors.WoadrunError) as caught:
       await asyncio.wait_for(running, 3.0)
     # The request may have run, so the error does not report it as not run.
--- a/tests/test_call_attempts.py
+++ b/tests/test_call_attempts.py
@@ -106,12 +106,12 @@
   )
   found._config = found._config.model_copy(update={'timing': timing})
   run = members.make_recovery(found, members.Links(raise_unavailable))
-  holding = slots.OwnedSlot(
+  owned_slot = slots.OwnedSlot(
     number=0, version=roster.Version(1), standby='127.0.0.1:8001', state=state
   )
-  holding.opened.set()
-  run._ownership.owned_slot_by_number[0] = holding
-  return run, holding
+  owned_slot.writable.set()
+  run._ownership.owned_slot_by_number[0] = owned_slot
+  return run, owned_slot
 
 
 class FakePlacing:
@@ -204,7 +204,7 @@
   attempt is running, and must not remove that attempt.
   """
   state = make_state()
-  run, holding = make_owner(state)
+  run, owned_slot = make_owner(state)
   first = make_accepted('first', repeatable=repeatable)
   state.apply([first], answers=9)
   error = slots.make_not_committed_error(
@@ -216,13 +216,13 @@
     await asyncio.sleep(0)
   # The caller's next attempt is committed by the standby and sent.
   second = make_accepted('second', repeatable=repeatable)
-  ticket = run._ownership.append(holding, [second])
+  ticket = run._ownership.append(owned_slot, [second])
   await asyncio.sleep(2 * COMMIT_TIMEOUT_SECONDS)
-  holding.settle(ticket.append.sequence, slots.Durability.STANDBY)
+  owned_slot.settle(ticket.append.sequence, slots.Durability.STANDBY)
   while run._runner._not_run_tasks:
     await asyncio.sleep(COMMIT_TIMEOUT_SECONDS / 10)
-    holding.settle(state.sequence, slots.Durability.STANDBY)
-  run._ownership.append(holding, [make_ok('second')])
+    owned_slot.settle(state.sequence, slots.Durability.STANDBY)
+  run._ownership.append(owned_slot, [make_ok('second')])
   found = state.get_program(PROGRAM)
   call = make_call(repeatable=repeatable)
   assert execution.get_stored_answer(
@@ -238,7 +238,7 @@
   longer reported the call as running.
   """
   state = make_state()
-  run, holding = make_owner(state)
+  run, owned_slot = make_owner(state)
   state.apply([make_accepted('first')], answers=9)
   ask = messages.Requests(requests=[(PROGRAM, 'r')])
   first = make_finished('first', program.NOT_RUN)
@@ -249,10 +249,10 @@
   second = make_finished('second', program.NOT_RUN)
   second_recording = asyncio.ensure_future(run._runner.record_outcome(second))
   await asyncio.sleep(0)
-  holding.settle(sequence, slots.Durability.STANDBY)
+  owned_slot.settle(sequence, slots.Durability.STANDBY)
   await first_recording
   assert run.get_running_calls(ask).requests == [(PROGRAM, 'r')]
-  holding.settle(state.sequence, slots.Durability.STANDBY)
+  owned_slot.settle(state.sequence, slots.Durability.STANDBY)
   await second_recording
   assert run.get_running_calls(ask).requests == []
 
@@ -291,7 +291,7 @@
   The previous owner was still executing the second attempt of the action.
   """
   state = make_state()
-  run, holding = make_owner(state)
+  run, owned_slot = make_owner(state)
   records = [
     make_accepted('first', repeatable=False),
     make_finished('first', program.NOT_RUN),
@@ -305,7 +305,7 @@
     message = messages.ReportOutcome(slot=0, record=record)
     noting = asyncio.ensure_future(run.handle_finished(message))
     await asyncio.sleep(0)
-    holding.settle(state.sequence, slots.Durability.STANDBY)
+    owned_slot.settle(state.sequence, slots.Durability.STANDBY)
     await noting
 
   await note(make_finished('first', program.NOT_RUN))
@@ -344,7 +344,7 @@
   recorded an outcome.
   """
   state = make_state()
-  run, holding = make_owner(state)
+  run, owned_slot = make_owner(state)
   run._runner._upstreams = FakeUpstreams()
   accepted = make_accepted('first', repeatable=False)
   record = make_finished('first', theirs, answer='"theirs"')
@@ -355,9 +355,9 @@
       running, accepted, placing.UpstreamAssignment(name='s'), rows.Row(key='t')
     )
   )
-  while not holding.tickets:
+  while not owned_slot.tickets:
     await asyncio.sleep(0)
-  holding.settle(state.sequence, slots.Durability.STANDBY)
+  owned_slot.settle(state.sequence, slots.Durability.STANDBY)
   with pytest.raises(errors.WoadrunError) as refusal:
     await ending
   assert refusal.value.code is errors.Code.OWNER_UNAVAILABLE
@@ -366,14 +366,14 @@
 
 async def test_error_says_not_run_only_if_the_call_has_no_outcome():
   state = make_state()
-  run, holding = make_owner(state)
+  run, owned_slot = make_owner(state)
   accepted = make_accepted('first')
   state.apply([accepted, make_ok('first')], answers=9)
   error = slots.make_not_owner_error('The slot is being handed over.')
   taking = asyncio.ensure_future(run._runner._record_not_run(accepted, error))
-  while not holding.tickets:
+  while not owned_slot.tickets:
     await asyncio.sleep(0)
-  holding.settle(state.sequence, slots.Durability.STANDBY)
+  owned_slot.settle(state.sequence, slots.Durability.STANDBY)
   await taking
   assert error.ran is errors.RunStatus.UNKNOWN
 
--- a/tests/test_datagram_calls.py
+++ b/tests/test_datagram_calls.py
@@ -44,8 +44,8 @@
     )
     self.calls = datagram_calls.DatagramCalls(
       address=self.address,
-      sent=self.sent,
-      links=self.links,
+      datagram_socket=self.sent,
+      messenger=self.links,
       handler_by_path={'ask': handler},
     )
 
@@ -88,7 +88,7 @@
     assert (await asker.ask(answerer)).stored == ('a',)
     assert not asker.links.posted
     assert not asker.calls._pending_by_id
-    assert asker.calls.messages == 1
+    assert asker.calls.answered_calls == 1
 
 
 async def test_a_lost_request_is_sent_again():
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -199,7 +199,7 @@
   naive = run(site, 'surge', 'naive')
   assert sum(product.latencies) < 0.9 * sum(naive.latencies)
   assert product.waste.total * 4 < naive.waste.total
-  assert product.waste.gone == 0
+  assert product.waste.held_after_end == 0
 
 
 def test_simulation_is_deterministic():
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -73,7 +73,7 @@
 
 def test_answers_are_counted_by_kind_and_outcome():
   counts = counters.Counters()
-  counts.note_answer('stream', '2xx', time.monotonic())
+  counts.record_answer('stream', '2xx', time.monotonic())
   counts.add_gauges(lambda: {'turns_kept': 7})
   text = counts.encode().decode()
   assert 'woadrun_answers_total{kind="stream",outcome="2xx"} 1.0' in text
--- a/tests/test_feed_sync.py
+++ b/tests/test_feed_sync.py
@@ -201,7 +201,7 @@
     'c': False,
     'd': False,
   }
-  assert known.changed == 15
+  assert known.newest_change == 15
   # A daemon that missed the second list gets the same rows.
   other = make_feed([])
   other.apply_changes(make_list(10, a=1, b=2, c=3))
@@ -215,7 +215,7 @@
   known = make_feed([])
   known.apply_changes(make_list(10, a=1, b=2))
   assert not known.apply_changes(make_list(20, a=1, b=2))
-  assert (known.version, known.changed) == (20, 10)
+  assert (known.version, known.newest_change) == (20, 10)
   assert known.find_changes(10).rows == ()
 
 
@@ -289,6 +289,6 @@
     for item in fleet.by_name.values():
       copy = await item.feeds.answer(turn_messages.FeedQuery(table='op'))
       assert len(msgspec.msgpack.encode(copy)) < len(written) / 5
-      (row,) = (store_access.get_row(found) for found in copy.rows)
+      (row,) = (store_access.decode_row(found) for found in copy.rows)
       assert packing.unpack(row).value == written
       assert item.catalogue.table.match('h', '/more-7/x').name == 'more-7'
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -74,13 +74,13 @@
 
 def test_a_domain_never_heard_is_silent_after_the_first_heartbeat_timeout():
   made = make_fleet('s-1', 's-2')
-  assert not made.is_silent('s')
+  assert not made.is_domain_silent('s')
   for name in ('s-1', 's-2'):
     made._added_at[name] -= fleet.FIRST_HEARTBEAT_TIMEOUT_SECONDS
   made._invalidate_view()
-  assert made.is_silent('s')
+  assert made.is_domain_silent('s')
   receive(made, 's-1')
-  assert not made.is_silent('s')
+  assert not made.is_domain_silent('s')
 
 
 def test_peers_with_store_access_are_sorted_by_own_domain_first():
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -117,7 +117,7 @@
       config=local.check(data),
       store=store,
       members=Members(address, addresses),
-      links=links,
+      messenger=links,
     )
   return store, links
 
@@ -197,7 +197,7 @@
   slot_store = storage.SlotStorage(
     config=writer._config, store=store, writer=writer
   )
-  slot_store.begin(5, replica.tail)
+  slot_store.begin_ownership(5, replica.tail)
   assert slot_store.get_unwritten_batches(5) == list(
     replica.tail
   ) and not slot_store.get_unwritten_batches(4)
@@ -208,7 +208,7 @@
   ) == 3 and not slot_store.get_unwritten_batches(5)
   # A slot taken over again starts with nothing counted as written: a diverged
   # history of it may have been written before.
-  slot_store.begin(5, [])
+  slot_store.begin_ownership(5, [])
   assert slot_store.get_written_sequence(5) == 0
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -28,73 +28,73 @@
 def test_failures_decay_and_expire(clock):
   tracker = health.FailureTracker()
   tracker.record_failure('a')
-  assert tracker.get_all() == {}
+  assert tracker.get_all_excess_failures() == {}
   clock.now += health.FAILURE_HALF_LIFE_SECONDS
   tracker.record_failure('a')
-  assert tracker.get_all() == {'a': 0.5}
+  assert tracker.get_all_excess_failures() == {'a': 0.5}
   clock.now += health.FAILURE_HALF_LIFE_SECONDS
-  assert tracker.get_all() == {}
-  assert tracker.tell() == {'a': 0.8}
+  assert tracker.get_all_excess_failures() == {}
+  assert tracker.report_failures() == {'a': 0.8}
   clock.now += 5 * health.FAILURE_HALF_LIFE_SECONDS
-  assert tracker.tell() == {}
+  assert tracker.report_failures() == {}
 
 
 def test_the_failures_of_an_instance_are_capped(clock):
   tracker = health.FailureTracker()
   for _ in range(50):
     tracker.record_failure('a')
-  tracker.take('peer', {'a': health.MAX_FAILURES})
+  tracker.record_peer_report('peer', {'a': health.MAX_FAILURES})
   most = health.MAX_FAILURES - health.TOLERATED_FAILURES
-  assert tracker.get_all() == {'a': most}
+  assert tracker.get_all_excess_failures() == {'a': most}
 
 
 def test_an_overdue_request_counts_as_failed_before_it_ends(clock):
   tracker = health.FailureTracker()
   tracker.record_request('r', 'a', 'tools')
   clock.now += health.MIN_OVERDUE_SECONDS
-  assert tracker.get_all() == {}
+  assert tracker.get_all_excess_failures() == {}
   clock.now += 0.1
-  assert tracker.get_all() == {'a': 0.5}
+  assert tracker.get_all_excess_failures() == {'a': 0.5}
   # The caller cancels the request; the failure still counts.
   tracker.record_end('r')
-  assert tracker.get_all() == {'a': 0.5}
+  assert tracker.get_all_excess_failures() == {'a': 0.5}
 
 
 def test_slow_responses_raise_the_timeout_of_their_service_for_a_while(clock):
   tracker = health.FailureTracker()
   tracker.record_request('slow', 'a', 'tools')
   clock.now += 0.9
-  tracker.note_answer('slow')
+  tracker.record_response('slow')
   tracker.record_end('slow')
   tracker.record_request('r', 'a', 'tools')
   tracker.record_request('other', 'b', 'models')
   clock.now += 1.7
-  assert tracker.get_all() == {'b': 0.5}
+  assert tracker.get_all_excess_failures() == {'b': 0.5}
   tracker.record_end('other')
   clock.now += 0.2
-  assert tracker.get_all()['a'] == 0.5
+  assert tracker.get_all_excess_failures()['a'] == 0.5
   tracker.record_end('r')
   clock.now += 4 * health.LATENCY_HALF_LIFE_SECONDS
   tracker.record_request('late', 'a', 'tools')
   clock.now += health.MIN_OVERDUE_SECONDS + 0.1
-  assert tracker.get_all() == {'a': 0.5}
+  assert tracker.get_all_excess_failures() == {'a': 0.5}
 
 
 def test_reports_of_peers_add_up_and_expire(clock):
   tracker = health.FailureTracker()
-  tracker.take('one', {'a': 1.0})
-  tracker.take('two', {'a': 0.5, 'b': 0.5})
-  assert tracker.get_all() == {'a': 0.5}
+  tracker.record_peer_report('one', {'a': 1.0})
+  tracker.record_peer_report('two', {'a': 0.5, 'b': 0.5})
+  assert tracker.get_all_excess_failures() == {'a': 0.5}
   clock.now += health.PEER_REPORT_TTL_SECONDS
-  assert tracker.get_all() == {}
+  assert tracker.get_all_excess_failures() == {}
 
 
 def test_own_failures_in_the_sum_of_a_domain_count_once(clock):
   tracker = health.FailureTracker()
   tracker.record_failure('a')
-  assert tracker.tell() == {'a': 1.0}
+  assert tracker.report_failures() == {'a': 1.0}
   tracker.record_domain_report({'a': 3.0}, age=0.2)
-  assert tracker.get_all() == {'a': 2.0}
+  assert tracker.get_all_excess_failures() == {'a': 2.0}
 
 
 def test_the_log_says_which_instances_become_and_cease_to_be_avoided(
@@ -145,16 +145,16 @@
 
 def test_only_reports_from_the_own_domain_count():
   load = loads.Loads(domain='north-1')
-  load.take_beat(make_fleet_heartbeat('north-2', {'bad': 2.0}))
+  load.record_peer_counts(make_fleet_heartbeat('north-2', {'bad': 2.0}))
   assert choose(load) == {'bad', 'good'}
-  load.take_beat(make_fleet_heartbeat('north-1', {'bad': 2.0}))
+  load.record_peer_counts(make_fleet_heartbeat('north-1', {'bad': 2.0}))
   assert choose(load) == {'good'}
 
 
 def test_a_failing_instance_is_preferred_to_one_with_a_long_queue():
   load = loads.Loads(domain='north-1')
   load.health.record_failure('bad', 2.0)
-  load.take_beat(
+  load.record_peer_counts(
     fleet_heartbeats.FleetHeartbeat(
       name='peer', address='127.0.0.1:2', domain='x', running={'good': 60}
     )
@@ -206,7 +206,8 @@
     met = fleet.engines.met
     await nodes.wait_until(
       lambda: all(
-        't1' in item.loads.health.get_all() for item in fleet.by_name.values()
+        't1' in item.loads.health.get_all_excess_failures()
+        for item in fleet.by_name.values()
       )
     )
     found = [
@@ -221,16 +222,18 @@
 def test_reading_failures_does_not_change_the_last_report(clock):
   tracker = health.FailureTracker()
   tracker.record_failure('a', 3.0)
-  assert tracker.tell() == {'a': 3.0}
+  assert tracker.report_failures() == {'a': 3.0}
   # A failure after the hub computed its sum, and a read of all failures.
   tracker.record_failure('a', 2.0)
-  tracker.take('peer', {'a': 1.0})
-  tracker.get_all()
-  tracker.take('peer', {})
+  tracker.record_peer_report('peer', {'a': 1.0})
+  tracker.get_all_excess_failures()
+  tracker.record_peer_report('peer', {})
   # The sum has the 3 reported failures and 2 of other daemons.
   tracker.record_domain_report({'a': 5.0}, age=0.0)
-  assert tracker.get_all() == {
+  assert tracker.get_all_excess_failures() == {
     'a': health.MAX_FAILURES - health.TOLERATED_FAILURES
   }
   tracker._record_by_id.clear()
-  assert tracker.get_all() == {'a': 2.0 - health.TOLERATED_FAILURES}
+  assert tracker.get_all_excess_failures() == {
+    'a': 2.0 - health.TOLERATED_FAILURES
+  }
--- a/tests/test_hubs.py
+++ b/tests/test_hubs.py
@@ -200,7 +200,7 @@
   for name, found in network.by_name.items():
     expected = ['n', 's'] if name.startswith('w') else ['w']
     assert found.find_silent_domains() == expected
-    assert not found.is_isolated and not found.is_settled
+    assert not found.is_isolated and not found.is_store_current
     assert found.get_domain_silence_seconds() >= hubs.DIGEST_TTL_SECONDS
   network.flags_by_name['w-3'] = {'has_store': True, 'is_owing': True}
   network.run(2)
@@ -213,7 +213,7 @@
   del network.flags_by_name['w-3']
   network.run(2)
   assert all(not f.find_unsettled_domains() for f in network.by_name.values())
-  assert all(found.is_settled for found in network.by_name.values())
+  assert all(found.is_store_current for found in network.by_name.values())
 
 
 @pytest.mark.parametrize('loss', [0.0, 0.05])
@@ -247,7 +247,7 @@
   for name, found in network.by_name.items():
     if name == 's-4':
       continue
-    assert not found.is_settled
+    assert not found.is_store_current
     assert not found.may_reach_store('s-4')
     assert 's-4' not in [m.name for m in found.rank('x', 's')]
     assert 's-4' not in [m.name for m in found.find_peers_with_store()]
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -140,10 +140,13 @@
     for _ in range(5):
       daemon.loads.health.record_failure(before)
     daemon.loads.record_unreachable(before)
-    assert before in daemon.loads.health.get_all()
+    assert before in daemon.loads.health.get_all_excess_failures()
     await put_entry(fleet, 'e1', {**entry, 'born': 2000})
     await nodes.wait_until(lambda: by_id['e1'].started_ms == 2000)
-    assert by_id['e1'].incarnation_id not in daemon.loads.health.get_all()
+    assert (
+      by_id['e1'].incarnation_id
+      not in daemon.loads.health.get_all_excess_failures()
+    )
     chosen = daemon.loads.choose(
       instances.Group([by_id['e1']]), tried=(before,)
     )
@@ -166,7 +169,7 @@
     directory = daemon.catalogue.directory
     await nodes.wait_until(lambda: 'e3' in directory.by_id)
     assert {i.id for i in directory.find('models').all} == {'e2', 'e3'}
-    assert daemon.catalogue.unreadable == 2
+    assert daemon.catalogue.undecodable_rows == 2
     await fleet.turn('n1', 'a')
 
 
--- a/tests/test_lent_places.py
+++ b/tests/test_lent_places.py
@@ -121,7 +121,7 @@
       part = limits.Limits(
         config=test_limits.make_config(),
         members=Members(address, directory),
-        links=network,
+        messenger=network,
         get_row=lambda key: row,
       )
       network.part_by_address[address] = part
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -371,7 +371,7 @@
   keeper = limits.Limits(
     config=make_config(),
     members=Members(),
-    links=None,
+    messenger=None,
     get_row=lambda key: None,
   )
   request = messages.Borrow(holder='x', row='riders', in_use=0, is_more=True)
@@ -405,7 +405,7 @@
   members.directory = members
   keepers = Keepers(members, gone)
   borrower = limits.Limits(
-    config=make_config(), members=members, links=keepers, get_row=None
+    config=make_config(), members=members, messenger=keepers, get_row=None
   )
   return borrower, keepers
 
@@ -433,7 +433,7 @@
   keeper = '127.0.0.1:2'
 
   def __init__(self):
-    self.listeners = []
+    self.own_roster_listeners = []
 
   def get_keeper(self, domain, name):
     return self.keeper
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -19,7 +19,7 @@
 
 def test_turns_avoid_a_busy_engine_long_before_its_slots_are_full():
   load = loads.Loads(domain='north-1')
-  load.take_beat(make_fleet_heartbeat({'near': 20}))
+  load.record_peer_counts(make_fleet_heartbeat({'near': 20}))
   found = [make_instance('near'), make_instance('far', domain='north-2')]
   chosen = load.choose(instances.Group(found), tried=(), prompt=4000)
   assert chosen.id == 'far'
@@ -29,11 +29,11 @@
   load = loads.Loads(domain='north-1')
   found = [make_instance('holder'), make_instance('free')]
   cached = {'holder': 8000}
-  load.take_beat(make_fleet_heartbeat({'holder': 3}))
+  load.record_peer_counts(make_fleet_heartbeat({'holder': 3}))
   few = load.choose(
     instances.Group(found), tried=(), prompt=8000, cached_by_id=cached
   )
-  load.take_beat(make_fleet_heartbeat({'holder': 30}))
+  load.record_peer_counts(make_fleet_heartbeat({'holder': 30}))
   many = load.choose(
     instances.Group(found), tried=(), prompt=8000, cached_by_id=cached
   )
@@ -44,7 +44,7 @@
   load = loads.Loads(domain='north-1')
   found = [make_instance('a', slots=4), make_instance('b', slots=4)]
   for name in ('one', 'two', 'three'):
-    load.take_beat(make_fleet_heartbeat({'a': 2}, name=name))
+    load.record_peer_counts(make_fleet_heartbeat({'a': 2}, name=name))
   assert load.choose(instances.Group(found), tried=()).id == 'b'
 
 
@@ -61,7 +61,7 @@
   load = loads.Loads(domain='north-1')
   found = [make_instance('a', slots=4)]
   free = load.estimate_retry_after(instances.Group(found))
-  load.take_beat(make_fleet_heartbeat({'a': 40}))
+  load.record_peer_counts(make_fleet_heartbeat({'a': 40}))
   assert load.estimate_retry_after(instances.Group(found)) > free
 
 
@@ -70,7 +70,7 @@
     domain='north-1', is_silent=lambda domain: domain == 'north-2'
   )
   found = [make_instance('near'), make_instance('far', domain='north-2')]
-  load.take_beat(make_fleet_heartbeat({'near': 60}))
+  load.record_peer_counts(make_fleet_heartbeat({'near': 60}))
   assert load.choose(instances.Group(found), tried=(), prompt=4000).id == 'near'
   assert (
     load.choose(instances.Group(found[1:]), tried=(), prompt=4000).id == 'far'
@@ -110,7 +110,7 @@
   load = loads.Loads(domain='north-1')
   found = [make_instance(id, slots=6) for id in 'ab']
   load.record_idle_connection('a')
-  load.take_beat(make_fleet_heartbeat({'a': 12}))
+  load.record_peer_counts(make_fleet_heartbeat({'a': 12}))
   assert choose_often(load, found) == {'b'}
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -68,7 +68,7 @@
   def add(self, append):
     pass
 
-  def begin(self, slot, tail):
+  def begin_ownership(self, slot, tail):
     pass
 
   def get_written_sequence(self, slot):
@@ -98,7 +98,7 @@
   found = membership.Membership(
     config=config,
     rows=None,
-    links=None,
+    messenger=None,
     vms=vm_list.VmList(config=config, session=None),
   )
   return found, clock
@@ -118,7 +118,7 @@
 async def test_new_heartbeat_target_is_not_silent_at_once(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(SIZE)]
   found, clock = make_membership(monkeypatch, members[0])
-  found.adopt(make_roster(members, members))
+  found.apply_roster(make_roster(members, members))
   for _ in range(30):
     clock.now += 1.0
     for member in found._heartbeat_targets:
@@ -128,7 +128,7 @@
   far = [members[0], members[12], *members]
   new = make_roster(members, far[:SIZE])
   slots = (roster.Slot(owner=members[0], standby=members[12]), *new.slots[1:])
-  found.adopt(
+  found.apply_roster(
     roster.Roster(
       domain='north', version=2, incarnations=new.incarnations, slots=slots
     )
@@ -151,7 +151,7 @@
 async def test_reported_suspicion_is_not_forwarded(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(SIZE)]
   found, clock = make_membership(monkeypatch, members[0])
-  found.adopt(make_roster(members, members))
+  found.apply_roster(make_roster(members, members))
   suspect = next(m for m in members[1:] if m not in found._heartbeat_targets)
   reporter = found._heartbeat_targets[0]
   found.record_heartbeat(make_heartbeat(reporter, suspects=[suspect]))
@@ -165,7 +165,7 @@
   members = [f'127.0.0.1:{8000 + n}' for n in range(3)]
   found, _ = make_membership(monkeypatch, members[0])
   held = ownership.Ownership(
-    config=found._config, members=found, links=None, store=Store()
+    config=found._config, members=found, messenger=None, store=Store()
   )
   # The first daemon is the standby of slot 0, whose owner died.
   pairs = [(members[1], members[0]), (members[2], members[1])]
@@ -179,7 +179,7 @@
       slots=tuple(entries),
     )
 
-  found.adopt(make(1, entries))
+  found.apply_roster(make(1, entries))
   claim = slots.OwnedSlot(
     number=0,
     version=roster.Version(1, 1, members[0]),
@@ -189,13 +189,13 @@
   )
   held.owned_slot_by_number[0] = claim
   other = roster.Slot(owner=members[2], standby=members[0], epoch=2, before=1)
-  found.adopt(make(2, [entries[0], other]))
+  found.apply_roster(make(2, [entries[0], other]))
   assert held.owned_slot_by_number == {0: claim} and claim.is_claimed
   # Only a roster change of the claimed slot ends the claim.
   mine = roster.Slot(
     owner=members[0], standby=members[2], epoch=3, before=1, owner_before=1
   )
-  found.adopt(make(3, [mine, other]))
+  found.apply_roster(make(3, [mine, other]))
   assert held.owned_slot_by_number == {0: claim} and not claim.is_claimed
   assert claim.epoch == 3 and claim.state.sequence == 7
 
@@ -205,7 +205,7 @@
     'config': found._config,
     'members': found,
     'ownership': ownership.Ownership(
-      config=found._config, members=found, links=links, store=Store()
+      config=found._config, members=found, messenger=links, store=Store()
     ),
     'table': None,
     'messenger': links,
@@ -219,7 +219,7 @@
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
   run = make_recovery(found, None)
-  found.adopt(make_roster(members, members))
+  found.apply_roster(make_roster(members, members))
   found.record_heartbeat(make_heartbeat(members[1]))
   message = messages.Handover(
     sender=members[1], incarnation='earlier', requests=[(0, 'p', 'r')]
@@ -250,7 +250,7 @@
     )
   )
   run = make_recovery(found, links)
-  found.adopt(make_roster(members, members))
+  found.apply_roster(make_roster(members, members))
   found.record_heartbeat(make_heartbeat(members[1]))
   run.record_handover(
     messages.Handover(
@@ -280,10 +280,10 @@
   )  # fmt: skip
   state = program.SlotState()
   state.apply([started, accepted], answers=1)
-  holding = slots.OwnedSlot(
+  owned_slot = slots.OwnedSlot(
     number=0, version=roster.Version(1), standby='', state=state
   )
-  run._ownership.owned_slot_by_number[0] = holding
+  run._ownership.owned_slot_by_number[0] = owned_slot
   error = slots.make_not_owner_error('The slot is being transferred.')
   withdrawal = asyncio.ensure_future(
     run._runner._record_not_run(accepted, error)
@@ -293,7 +293,7 @@
   ask = messages.Requests(requests=[('north.000.a', 'r'), ('north.000.a', 'x')])
   assert run.get_running_calls(ask).requests == [('north.000.a', 'r')]
   assert list(state.get_program('north.000.a').get_running())
-  holding.opened.set()
+  owned_slot.writable.set()
   await asyncio.wait_for(withdrawal, 10)
   assert not list(state.get_program('north.000.a').get_running())
   assert error.ran is errors.RunStatus.NOT_RUN
@@ -304,9 +304,9 @@
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
   permits = dispatcher.PermitDispatcher(
-    config=found._config, members=found, links=None
+    config=found._config, members=found, messenger=None
   )
-  found.adopt(make_roster(members, members))
+  found.apply_roster(make_roster(members, members))
   upstream = dispatcher.Upstream(name='e', slots=1)
   permits.upstream_by_name['e'] = upstream
   holder = directory.make_process_name(members[1], 'i')
@@ -314,7 +314,7 @@
   permits._release_dead_holders()
   assert upstream.holder_by_permit == {'p': holder}
   known = roster.with_member(found.roster, members[1], 'later')
-  found.adopt(msgspec.structs.replace(known, version=2))
+  found.apply_roster(msgspec.structs.replace(known, version=2))
   assert not upstream.holder_by_permit
 
 
@@ -328,7 +328,7 @@
   known = roster.Roster(
     domain='north', version=1, incarnations=incarnations, slots=(gone,) * 16
   )
-  found.adopt(known)
+  found.apply_roster(known)
   clock.now += 5.0
   found.record_heartbeat(make_heartbeat(members[2]))
   assert found.get_silent() == {members[1]}
@@ -339,13 +339,13 @@
     raise errors.WoadrunError(errors.Code.OWNER_UNAVAILABLE, 'dead')
 
   held = ownership.Ownership(
-    config=found._config, members=found, links=None, store=Store()
+    config=found._config, members=found, messenger=None, store=Store()
   )
   moves = transitions.Transitions(
     config=found._config,
     members=found,
-    links=Links(answer),
-    held=held,
+    messenger=Links(answer),
+    ownership=held,
     outage_handler=None,
   )
   found._links = Links(answer)
--- a/tests/test_partitioned_domains.py
+++ b/tests/test_partitioned_domains.py
@@ -176,7 +176,9 @@
     fleet.view_by_name['s1'].is_cut = True
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
     for daemon, other in ((north, 'south'), (south, 'north')):
-      daemon.fleet.is_silent = lambda domain, other=other: domain == other
+      daemon.fleet.is_domain_silent = lambda domain, other=other: (
+        domain == other
+      )
       daemon.fleet.is_alive = lambda name, me=daemon: name == me.config.name
     await nodes.wait_until(
       lambda: not south.store.is_reachable and south.fleet.find_silent_domains()
@@ -204,7 +206,9 @@
     ]
     assert not north.fleet.find_unsettled_domains()
     for daemon, other in ((north, 'south'), (south, 'north')):
-      daemon.fleet.is_silent = lambda domain, other=other: domain == other
+      daemon.fleet.is_domain_silent = lambda domain, other=other: (
+        domain == other
+      )
       daemon.fleet.is_alive = lambda name, me=daemon: name == me.config.name
     await nodes.wait_until(south.fleet.find_silent_domains)
     ran += [
@@ -225,12 +229,12 @@
     south.fleet.datagrams.handle(
       datagrams.REMOTE_PROGRAM_COPY, lambda data: None
     )
-    south.fleet.is_silent = lambda domain: domain == 'north'
+    south.fleet.is_domain_silent = lambda domain: domain == 'north'
     south.fleet.is_alive = lambda name: name == 's1'
     before = 12
     for number in range(before):
       await fleet.turn('n1', f'a{number}', most=10, budget=306)
-    north.fleet.is_silent = lambda domain: domain == 'south'
+    north.fleet.is_domain_silent = lambda domain: domain == 'south'
     north.fleet.is_alive = lambda name: name == 'n1'
     await nodes.wait_until(
       lambda: not south.store.is_reachable and south.fleet.find_silent_domains()
@@ -284,10 +288,10 @@
     entry = south.entry_by_program['p']
     entry.ledger.home = 'south'
     older = north._copies.make(north.entry_by_program['p'])
-    await south.intake.handle_remote_copy(older)
+    await south.copy_receiver.handle_remote_copy(older)
     assert south.entry_by_program['p'].ledger.home == 'north'
     mine = north.entry_by_program['p']
-    await north.intake.handle_remote_copy(
+    await north.copy_receiver.handle_remote_copy(
       msgspec.structs.replace(older, home='south')
     )
     assert mine.ledger.home == 'north'
@@ -322,7 +326,7 @@
   async with nodes.Nodes() as fleet:
     await fleet.start('n1', 's1')
     north, south = fleet.by_name['n1'], fleet.by_name['s1']
-    south.fleet.is_silent = lambda domain: domain == 'north'
+    south.fleet.is_domain_silent = lambda domain: domain == 'north'
     await nodes.wait_until(
       lambda: north.fleet.find_unsettled_domains() == {'south'}
     )
@@ -362,7 +366,7 @@
         lambda north=north: (
           north.is_ready()
           and north.store.is_direct
-          and south.fleet.is_settled
+          and south.fleet.is_store_current
           and not south.fleet.find_unsettled_domains()
         )
       )
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -33,7 +33,9 @@
     with pytest.raises(errors.WoadrunError) as caught:
       await fleet.turn('s1', 'b', parent='a')
     assert caught.value.status == 503
-    after = max(south.fleet.get_domain_silence_seconds(), south.store.outage)
+    after = max(
+      south.fleet.get_domain_silence_seconds(), south.store.outage_seconds
+    )
     found = caught.value.retry_after
     assert retry_after.estimate_outage(before) <= found
     assert found <= retry_after.estimate_outage(after)
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -214,28 +214,28 @@
 
 def test_table_without_confirmation_has_infinite_age():
   clock_estimate, age = make_age()
-  assert age.get() == math.inf
-  age.take(10.0, 7)
-  assert age.get() == math.inf
+  assert age.get_age_seconds() == math.inf
+  age.record_confirmation(10.0, 7)
+  assert age.get_age_seconds() == math.inf
   now = time.monotonic()
-  clock_estimate.note(12.0, began=now - 0.5, ended=now)
-  assert 2.0 <= age.get() <= 2.6
+  clock_estimate.record_reading(12.0, began=now - 0.5, ended=now)
+  assert 2.0 <= age.get_age_seconds() <= 2.6
 
 
 def test_confirmation_for_an_unknown_version_is_ignored():
   clock_estimate, age = make_age(version=6)
   now = time.monotonic()
-  clock_estimate.note(12.0, began=now, ended=now)
-  age.take(12.0, 7)
-  assert age.get() == math.inf
+  clock_estimate.record_reading(12.0, began=now, ended=now)
+  age.record_confirmation(12.0, 7)
+  assert age.get_age_seconds() == math.inf
 
 
 def test_read_confirms_the_table_as_of_the_start_of_the_call():
   clock_estimate, age = make_age()
   now = time.monotonic()
-  clock_estimate.note(50.0, began=now - 2.0, ended=now)
+  clock_estimate.record_reading(50.0, began=now - 2.0, ended=now)
   age.record_read(now - 2.0)
-  assert age.get() >= 2.0
+  assert age.get_age_seconds() >= 2.0
   assert age.confirmed <= 50.0
 
 
@@ -257,7 +257,9 @@
   for pause, there, back in trips:
     began = now + pause
     now = began + there + back
-    clock_estimate.note(began + there + offset, began=began, ended=now)
+    clock_estimate.record_reading(
+      began + there + offset, began=began, ended=now
+    )
     least, most = clock_estimate.get_bounds(now)
     assert least - 1e-6 <= now + offset <= most + 1e-6
     assert clock_estimate.get_age(now + offset, now) >= -1e-6
@@ -265,6 +267,6 @@
 
 def test_reset_of_the_store_clock_replaces_the_bounds():
   clock_estimate = store_clock.StoreClock()
-  clock_estimate.note(100.0, began=0.0, ended=0.1)
-  clock_estimate.note(5.0, began=1.0, ended=1.1)
+  clock_estimate.record_reading(100.0, began=0.0, ended=0.1)
+  clock_estimate.record_reading(5.0, began=1.0, ended=1.1)
   assert clock_estimate.get_bounds(1.1) == pytest.approx((5.0, 5.1))
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -236,7 +236,7 @@
     domains={'north'},
     rank=lambda program, domain: [owner],
     is_alive=lambda name: True,
-    is_settled=False,
+    is_store_current=False,
     record_failure=failed.append,
   )
   leave = turn_client.TurnClient(
--- a/tests/test_slot_copies.py
+++ b/tests/test_slot_copies.py
@@ -31,8 +31,8 @@
 
 def make_copies(address, known):
   found, _ = members.make_membership(None, address)
-  found.adopt(known)
-  return found, copies.Copies(
+  found.apply_roster(known)
+  return found, copies.SlotCopies(
     members=found, address=address, answers=9, is_owned=lambda number: False
   )
 
@@ -58,10 +58,10 @@
   copy when the roster arrives, although the copy is not of the previous epoch.
   """
   found, held = make_copies(STANDBY, make_roster(1, make_entry(1, standby='')))
-  held.learn(make_sync(1))
-  held.learn(make_sync(2, sequence=7))
+  held.store_copy(make_sync(1))
+  held.store_copy(make_sync(2, sequence=7))
   new = make_roster(2, make_entry(2, 1))
-  found.adopt(new)
+  found.apply_roster(new)
   held.apply_entry(0, new.slots[0])
   replica = held.replica_by_slot[0]
   assert replica.owner == OWNER
@@ -78,7 +78,7 @@
     STANDBY, make_roster(2, make_entry(2, 1, owner=STANDBY, standby=THIRD))
   )
   with pytest.raises(errors.WoadrunError) as refusal:
-    held.learn(make_sync(1, sequence=7))
+    held.store_copy(make_sync(1, sequence=7))
   assert refusal.value.code is errors.Code.STALE_EPOCH
 
 
@@ -89,11 +89,11 @@
   """
   found, held = make_copies(STANDBY, make_roster(1, make_entry(1, standby='')))
   first, second = (make_sync(1, copy_id=name) for name in ('first', 'second'))
-  held.learn(first)
-  held.learn(second)
-  held.forget(first)
+  held.store_copy(first)
+  held.store_copy(second)
+  held.drop_copy(first)
   new = make_roster(2, make_entry(2, 1))
-  found.adopt(new)
+  found.apply_roster(new)
   held.apply_entry(0, new.slots[0])
   assert 0 in held.replica_by_slot
 
@@ -127,11 +127,11 @@
   found, _ = members.make_membership(None, OWNER)
   links = RecordingLinks()
   held = ownership.Ownership(
-    config=found._config, members=found, links=links, store=members.Store()
+    config=found._config, members=found, messenger=links, store=members.Store()
   )
-  found.adopt(make_roster(1, make_entry(1, standby='')))
+  found.apply_roster(make_roster(1, make_entry(1, standby='')))
   assert held.owned_slot_by_number[0].standby == ''
-  found.adopt(make_roster(2, make_entry(2, 1)))
+  found.apply_roster(make_roster(2, make_entry(2, 1)))
   for _ in range(9):
     await asyncio.sleep(0)
   [(address, copy)] = links.by_path['sync']
@@ -146,7 +146,7 @@
   others hear.
   """
   found, clock = members.make_membership(monkeypatch, STANDBY)
-  found.adopt(known)
+  found.apply_roster(known)
   clock.now += 5.0
   found.record_heartbeat(members.make_heartbeat(THIRD))
 
@@ -161,13 +161,13 @@
 
   links = found._links = members.Links(answer)
   held = ownership.Ownership(
-    config=found._config, members=found, links=links, store=members.Store()
+    config=found._config, members=found, messenger=links, store=members.Store()
   )
   moves = transitions.Transitions(
     config=found._config,
     members=found,
-    links=links,
-    held=held,
+    messenger=links,
+    ownership=held,
     outage_handler=None,
   )
   changed = []
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -426,7 +426,7 @@
     await fleet.start('n2')
     ask = turn_messages.OpenTurn(program='p', request='e', most=10, budget=100)
     new = fleet.by_name['n2'].programs
-    await new.open(ask)
+    await new.open_turn(ask)
     assert new.entry_by_program['p'].ledger.spent == 4 * 6 + 10
 
 
--- a/tests/test_two_owners.py
+++ b/tests/test_two_owners.py
@@ -45,13 +45,13 @@
 async def test_a_frozen_owner_learns_what_its_standby_granted():
   async with nodes.Nodes() as fleet:
     owner, standby, _ = await start_without_store(fleet)
-    await owner.programs.open(make_open('b'))
+    await owner.programs.open_turn(make_open('b'))
     # The owner is frozen, and its standby takes over.
     mark_failed(standby, owner)
-    await standby.programs.open(make_open('c'))
-    await standby.programs.close(make_close('c'))
+    await standby.programs.open_turn(make_open('c'))
+    await standby.programs.close_turn(make_close('c'))
     # The owner resumes and does not know what the standby granted.
-    await owner.programs.open(make_open('d'))
+    await owner.programs.open_turn(make_open('d'))
     entry = owner.programs.entry_by_program['p']
     assert entry.ledger.spent == 6 + 10 + 6 + 10
 
@@ -60,11 +60,11 @@
   async with nodes.Nodes() as fleet:
     owner, standby, _ = await start_without_store(fleet)
     # The 50 tokens that are left may be spent without the store, once.
-    await owner.programs.open(make_open('b', most=20, budget=56))
+    await owner.programs.open_turn(make_open('b', most=20, budget=56))
     mark_failed(standby, owner)
-    await standby.programs.open(make_open('c', most=20, budget=56))
+    await standby.programs.open_turn(make_open('c', most=20, budget=56))
     with pytest.raises(errors.WoadrunError) as caught:
-      await owner.programs.open(make_open('d', most=20, budget=56))
+      await owner.programs.open_turn(make_open('d', most=20, budget=56))
     assert caught.value.status == 503
     entry = owner.programs.entry_by_program['p']
     assert entry.ledger.spent == 6 + 20 + 20
@@ -75,11 +75,11 @@
     owner, standby, third = await start_without_store(fleet)
     # One copy goes to the third member, and the next one to the standby again.
     mark_failed(owner, standby)
-    await owner.programs.open(make_open('b'))
+    await owner.programs.open_turn(make_open('b'))
     owner.fleet._failed_until.clear()
-    await owner.programs.open(make_open('c'))
+    await owner.programs.open_turn(make_open('c'))
     mark_failed(third, owner)
-    await third.programs.open(make_open('d'))
+    await third.programs.open_turn(make_open('d'))
     entry = third.programs.entry_by_program['p']
     assert entry.ledger.spent == 6 + 10 + 10 + 10
 
@@ -90,8 +90,8 @@
     for daemon, request in ((owner, 'b'), (standby, 'c'), (owner, 'd')):
       if daemon is standby:
         mark_failed(standby, owner)
-      await daemon.programs.open(make_open(request))
-      await daemon.programs.close(make_close(request))
+      await daemon.programs.open_turn(make_open(request))
+      await daemon.programs.close_turn(make_close(request))
     fleet.shared.is_out = False
     await nodes.wait_until(
       lambda: all(
@@ -102,7 +102,7 @@
     )
     late = await fleet.start_alone('n4')
     await nodes.wait_until(lambda: late.is_ready() and late.store.is_direct)
-    await late.programs.open(make_open('e'))
+    await late.programs.open_turn(make_open('e'))
     assert late.programs.entry_by_program['p'].ledger.spent == 4 * 6 + 10
 
 
@@ -225,7 +225,7 @@
     daemon.fleet.is_alive = lambda name: name == owner
     daemon.fleet._invalidate_view()
     before = daemon.programs.entry_by_program['p'].ledger.version
-    await daemon.programs.open(make_open('c', budget=306))
+    await daemon.programs.open_turn(make_open('c', budget=306))
     entry = daemon.programs.entry_by_program['p']
     assert 'c' in entry.ledger.saved.reserved
     assert entry.ledger.version > before
