--- a/src/woadrun/process/feed.py
+++ b/src/woadrun/process/feed.py
@@ -73,10 +73,10 @@
   `on_list` is called with all rows whenever the whole table was received,
   `on_row` with each change after that, both with uncompressed rows.  `is_lost`
   says that this daemon has no contact with the store, or had none yet.
-  `regained_at` is the time at which contact with the store was last regained
-  by this daemon or a peer, on the monotonic clock; it is -inf if contact was
-  never lost.  `version` is the version of the store up to which the table is
-  known, None before the first list.  `changed` is the version of its newest
+  `regained_at` is the time at which contact with the store was last regained by
+  this daemon or a peer, on the monotonic clock; it is -inf if contact was never
+  lost.  `version` is the version of the store up to which the table is known,
+  None before the first list.  `newest_change` is the version of its newest
   change, -1 before the first list.  `should_follow` returns whether this daemon
   should follow the store itself.  `on_change` is called after changes received
   from the store, `on_read` after each of its responses with the time at which
@@ -104,7 +104,7 @@
     self.should_follow: Callable[[], bool] = lambda: True
     self.on_change: Callable[[], None] = lambda: None
     self.version: int | None = None
-    self.changed = -1
+    self.newest_change = -1
     self.is_lost = True
     self.regained_at = float('-inf')
     self._attempt_started_at = float('-inf')
@@ -301,7 +301,7 @@
     """
     if self.version is None:
       self._row_by_name = {row.key.name: packing.pack(row) for row in found}
-      self._history_from = self.changed = version
+      self._history_from = self.newest_change = version
       return True
     listed = {row.key.name for row in found}
     # A list does not say at which version its missing rows were removed; the
@@ -328,7 +328,7 @@
 
   def _store_row(self, row: rows.Row) -> None:
     name = row.key.name
-    self.changed = max(self.changed, row.version)
+    self.newest_change = max(self.newest_change, row.version)
     if not row.is_removed:
       self._tombstone_by_name.pop(name, None)
       self._row_by_name[name] = packing.pack(row)
--- a/src/woadrun/process/reservations.py
+++ b/src/woadrun/process/reservations.py
@@ -308,7 +308,7 @@
     home = held.home
     is_away = home != self._members.me.domain
     if self._members.is_isolated or (
-      is_away and not self._members.is_silent(home)
+      is_away and not self._members.is_domain_silent(home)
     ):
       raise error
 
@@ -353,7 +353,7 @@
         errors.Code.PLATFORM_UNAVAILABLE,
         'The store is unreachable, and the share of the budget for such an '
         'outage is spent.',
-        retry_after=retry_after.estimate_outage(self._store.outage),
+        retry_after=retry_after.estimate_outage(self._store.outage_seconds),
       )
 
   def _fits_offline(
@@ -420,7 +420,9 @@
 
   def _get_disconnected_seconds(self) -> float:
     """Returns for how many seconds other domains may have learned nothing."""
-    return max(self._store.outage, self._members.get_domain_silence_seconds())
+    return max(
+      self._store.outage_seconds, self._members.get_domain_silence_seconds()
+    )
 
   async def _report_spending(self, entry: program_rows.Entry) -> None:
     """Raises this domain's limit by reporting its spending to all others.
--- a/src/woadrun/process/slots.py
+++ b/src/woadrun/process/slots.py
@@ -87,8 +87,8 @@
 class OwnedSlot:
   """A slot that this daemon owns.
 
-  `standby` is its address, empty for none.  While `opened` is not set, the slot
-  accepts no appends because its state is being copied or the slot is being
+  `standby` is its address, empty for none.  While `writable` is not set, the
+  slot accepts no appends because its state is being copied or the slot is being
   transferred.  `tickets` are the batches that no other daemon and not the
   platform is known to store yet.  `is_claimed` is set if this daemon took the
   slot over, or continues without its standby, while the table service is
@@ -105,7 +105,7 @@
   version: roster.Version
   standby: str
   state: program.SlotState
-  opened: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+  writable: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
   tickets: list[PendingBatch] = dataclasses.field(default_factory=list)
   copied_to: tuple[str, int] = ('', 0)
   is_claimed: bool = False
@@ -120,9 +120,9 @@
 
     Each program keeps its newest `answers` answers.  The platform has stored
     the batches up to the sequence number `written`.  Raises `not_owner` while
-    the slot is not opened.
+    the slot is not writable.
     """
-    if not self.opened.is_set():
+    if not self.writable.is_set():
       raise make_not_owner_error(f'Slot {self.number} is being transferred.')
     self.state.apply(records, answers=answers)
     append = messages.Append(
@@ -231,19 +231,19 @@
   copy_id: str = ''
 
 
-async def wait_until_committed(holding: OwnedSlot, timeout: float) -> None:
+async def wait_until_committed(owned_slot: OwnedSlot, timeout: float) -> None:
   """Returns once no batch of a slot is pending any more.
 
   That includes batches that failed or that are stored nowhere else.  Raises
   `not_committed` if a batch is still pending after `timeout` seconds, or if one
   was appended meanwhile and is pending.
   """
-  waiting = [ticket.durability for ticket in holding.tickets]
+  waiting = [ticket.durability for ticket in owned_slot.tickets]
   if waiting:
     await asyncio.wait(waiting, timeout=timeout)
-  if any(not ticket.durability.done() for ticket in holding.tickets):
+  if any(not ticket.durability.done() for ticket in owned_slot.tickets):
     raise make_not_committed_error(
-      f'Slot {holding.number} has records that are not committed yet.',
+      f'Slot {owned_slot.number} has records that are not committed yet.',
       retry_after=1.0,
     )
 
--- a/src/woadrun/process/store_access.py
+++ b/src/woadrun/process/store_access.py
@@ -92,13 +92,13 @@
     self,
     *,
     direct: rows.RowStore,
-    links: peers.Peers,
+    messenger: peers.Peers,
     store_time: store_clock.StoreClock | None = None,
   ) -> None:
     super().__init__()
     self._store_time = store_time or store_clock.StoreClock()
     self.direct = direct
-    self._links = links
+    self._links = messenger
     self._fleet: fleet.Fleet | None = None
     self.is_direct = False
     # Timeouts of the running calls, in the order in which the calls began.
@@ -126,7 +126,7 @@
     return self._fleet.has_peer_with_store()
 
   @property
-  def outage(self) -> float:
+  def outage_seconds(self) -> float:
     """Seconds for which the store has been unreachable, 0 if reachable."""
     if self._unreachable_since is None or self.is_reachable:
       return 0.0
@@ -162,7 +162,7 @@
     return time.monotonic() - oldest
 
   @contextlib.contextmanager
-  def clock(self) -> Iterator[None]:
+  def time_write(self) -> Iterator[None]:
     """Returns a context that measures the duration of a write.
 
     `is_slow` and `is_responsive` depend on these durations, and on the writes
@@ -203,14 +203,14 @@
     )
 
     async def call() -> rows.Outcome:
-      with self.clock():
+      with self.time_write():
         return await self.direct.change(
           writes=writes, removes=removes, conditions=conditions
         )
 
     async def relay(peer: fleet_heartbeats.Member) -> rows.Outcome:
       page = await self._call_peer(peer, 'store/change', message)
-      found = tuple(get_row(row) for row in page.rows)
+      found = tuple(decode_row(row) for row in page.rows)
       return rows.Outcome(
         is_done=page.is_done,
         version=page.version,
@@ -310,7 +310,7 @@
     result = await call()
     if result.clock is not None:
       ended = time.monotonic()
-      self._store_time.note(result.clock, began=began, ended=ended)
+      self._store_time.record_reading(result.clock, began=began, ended=ended)
     return result
 
   async def _call_with_retry(self, call: Callable[[], Awaitable[T]]) -> T:
@@ -440,7 +440,7 @@
     `is_responsive`.
     """
     self._check_available()
-    with self._access.clock():
+    with self._access.time_write():
       outcome = await self._access.direct.change(
         writes=[(_get_key(row), row.value) for row in message.writes],
         removes=[_get_key(row) for row in message.removes],
@@ -493,7 +493,7 @@
   return rows.Key(row.table, row.part, row.name)
 
 
-def get_row(row: turn_messages.StoreRow) -> rows.Row:
+def decode_row(row: turn_messages.StoreRow) -> rows.Row:
   """Returns the row decoded from a message of a peer."""
   return rows.Row(
     key=_get_key(row),
@@ -505,7 +505,7 @@
 
 
 def _decode_page(page: turn_messages.StorePage) -> rows.Page:
-  found = tuple(get_row(row) for row in page.rows)
+  found = tuple(decode_row(row) for row in page.rows)
   return rows.Page(
     rows=found, version=page.version, is_cut=page.is_cut, clock=page.clock
   )
--- a/src/woadrun/request/placing.py
+++ b/src/woadrun/request/placing.py
@@ -194,7 +194,7 @@
       # The last report may lack the newest calls of this daemon.
       running=max(own_calls, load.running if load else 0),
       waiting=load.waiting if load else 0,
-      seconds=load.seconds if load else dispatcher.FIRST_SECONDS,
+      seconds=load.seconds if load else dispatcher.INITIAL_CALL_SECONDS,
       cached=found.history_tokens if found.engine == name else 0,
       is_near=self._is_in_own_domain(name),
     )
--- a/src/woadrun/request/runner.py
+++ b/src/woadrun/request/runner.py
@@ -151,8 +151,8 @@
     _, slot = calls.split_program_id(call.program)
     deadline = time.monotonic() + self._config.timing.hold
     while call.ordinal:
-      holding = await self._ownership.open(slot)
-      last_ordinal = holding.state.get_program(call.program).calls
+      owned_slot = await self._ownership.wait_until_writable(slot)
+      last_ordinal = owned_slot.state.get_program(call.program).calls
       if call.ordinal == last_ordinal + 1:
         return
       if call.ordinal <= last_ordinal or time.monotonic() > deadline:
@@ -170,8 +170,8 @@
     """
     call = running.call
     _, slot = calls.split_program_id(call.program)
-    holding = await self._ownership.open(slot)
-    found = holding.state.get_program(call.program)
+    owned_slot = await self._ownership.wait_until_writable(slot)
+    found = owned_slot.state.get_program(call.program)
     row = self._check_call(found)
     self._get_retry_budget(row).note_call(row.retry_budget)
     plan = self._places.plan(call, found, row)
@@ -184,8 +184,8 @@
         # its outcome is unknown.  The upstream's permit is therefore acquired
         # before the record is made.
         await self._places.acquire_slot(place, found, row, plan.cost)
-      holding = await self._ownership.open(slot)
-      found = holding.state.get_program(call.program)
+      owned_slot = await self._ownership.wait_until_writable(slot)
+      found = owned_slot.state.get_program(call.program)
       self._check_call(found)
       if call.request in found.request_by_id:
         # While this call waited, the slot may have moved to another owner and
@@ -197,7 +197,7 @@
         call, found, plan, place, running.digest, now=self.clock()
       )
       previous_engine = found.engine
-      ticket = self._ownership.append(holding, [accepted])
+      ticket = self._ownership.append(owned_slot, [accepted])
       running.is_accepted = True
       try:
         await self._settle_and_enter(ticket, accepted, place, found, row, plan)
@@ -228,10 +228,10 @@
     of either.
     """
     if not accepted.repeatable:
-      await self._ownership.settle(ticket, is_strong=True)
+      await self._ownership.wait_for_commit(ticket, is_strong=True)
       return
     results = await asyncio.gather(
-      self._ownership.settle(ticket, is_strong=False),
+      self._ownership.wait_for_commit(ticket, is_strong=False),
       self._places.acquire_slot(place, found, row, plan.cost),
       return_exceptions=True,
     )
@@ -341,12 +341,12 @@
   def _get_owned_program(self, program_id: str) -> program.Program:
     """Returns a program; raises `not_owner` if its slot was handed over."""
     _, slot = calls.split_program_id(program_id)
-    holding = self._ownership.owned_slot_by_number.get(slot)
-    if holding is None:
+    owned_slot = self._ownership.owned_slot_by_number.get(slot)
+    if owned_slot is None:
       raise slots.make_not_owner_error(
         f'Slot {slot} was handed over to another daemon.'
       )
-    return holding.state.get_program(program_id)
+    return owned_slot.state.get_program(program_id)
 
   def _make_cancelled_record(
     self, running: execution.Execution, accepted: program.Accepted
@@ -430,10 +430,10 @@
     The call may have been executed by a previous owner of the slot.
     """
     record = message.record
-    holding = await self._ownership.open(message.slot)
-    ticket = self._ownership.append(holding, [record])
-    await self._ownership.settle(ticket, is_strong=False)
-    found = holding.state.program_by_id.get(record.program)
+    owned_slot = await self._ownership.wait_until_writable(message.slot)
+    ticket = self._ownership.append(owned_slot, [record])
+    await self._ownership.wait_for_commit(ticket, is_strong=False)
+    found = owned_slot.state.program_by_id.get(record.program)
     # A program is deleted only some time after it has ended, and the outcomes
     # of its calls were recorded before.
     has_outcome = found is None or found.has_outcome(record)
