--- a/src/woadrun/process/health.py
+++ b/src/woadrun/process/health.py
@@ -81,15 +81,15 @@
 class FailureTracker:
   """The weighted failures at all instances.
 
-  Each request is recorded with `record_request`, with `note_answer` once its
-  response has begun, and with `record_end` in any case; the request may be any
-  hashable object.  `note_answer` raises `KeyError` for a request that is not
-  recorded.  All times are on the monotonic clock.
+  Each request is recorded with `record_request`, with `record_response` once
+  its response has begun, and with `record_end` in any case; the request may be
+  any hashable object.  `record_response` raises `KeyError` for a request that
+  is not recorded.  All times are on the monotonic clock.
 
   An instance is failing if its failures exceed TOLERATED_FAILURES, counting
   those that this daemon saw and those that others reported.  `avoided` has the
   failing instances as of the last call of `log_changes`; the choice of an
-  instance uses `get`.
+  instance uses `get_excess_failures`.
   """
 
   def __init__(self) -> None:
--- a/src/woadrun/process/membership.py
+++ b/src/woadrun/process/membership.py
@@ -60,8 +60,8 @@
 class Membership(mode.Service):
   """Tracks the members and rosters of this and of other failure domains.
 
-  `listeners` are called with each new roster of this domain.  `loads` returns
-  the loads of the upstreams whose queues this daemon keeps, and
+  `own_roster_listeners` are called with each new roster of this domain.
+  `loads` returns the loads of the upstreams whose queues this daemon keeps, and
   `load_by_upstream` has those that peers reported.  `table_version` returns the
   version of the operators' table that this daemon has; `on_newer_table` is
   called with the address of a peer that has a newer one.  `is_leaving` is set
--- a/src/woadrun/process/ownership.py
+++ b/src/woadrun/process/ownership.py
@@ -42,8 +42,8 @@
 
 SYNC_TIMEOUT_SECONDS = 3.0
 HANDOVER_TIMEOUT_SECONDS = 3.0
-# Within this time of a slot's last acknowledgement, `confirm` returns without a
-# new round trip.
+# Within this time of a slot's last acknowledgement, `confirm_ownership` returns
+# without a new round trip.
 CONFIRMATION_TTL_SECONDS = 1.0
 # Share of the platform's write rate that checkpoints may use.
 CHECKPOINT_WRITE_SHARE = 0.2
@@ -201,7 +201,8 @@
   async def _commit_without_standby(
     self, owned_slot: slots.OwnedSlot, ticket: slots.PendingBatch
   ) -> None:
-    # Half of the time that `settle` waits, so that the ticket completes first.
+    # Half of the time that `wait_for_commit` waits, so that the ticket
+    # completes first.
     wait = self._config.timing.commit / 2
     if self._members.is_platform_up():
       try:
--- a/src/woadrun/process/program_copies.py
+++ b/src/woadrun/process/program_copies.py
@@ -406,7 +406,7 @@
 def decode(copy: turn_messages.LedgerCopy) -> ledger.Ledger:
   """Returns the ledger that a copy describes.
 
-  `CopyIntake` applies the fields of the copy that are no part of a ledger.
+  `CopyReceiver` applies the fields of the copy that are no part of a ledger.
   """
   saved = ledger.LedgerRow(
     home=copy.home,
--- a/src/woadrun/request/upstreams.py
+++ b/src/woadrun/request/upstreams.py
@@ -131,11 +131,11 @@
   ) -> program.Finished:
     """Returns the outcome of a model call, forwarding its events meanwhile.
 
-    A call whose engine fails is moved to another engine and starts again
-    from its first token.  Raises `upstream_failed` if an engine rejects the
-    call with a 4xx status, if no other engine is left or if the retry budget is
-    used up.  Also raises the errors of `CallPlacer.choose` and
-    `CallPlacer.enter` for the next engine.
+    A call whose engine fails is moved to another engine and starts again from
+    its first token.  Raises `upstream_failed` if an engine rejects the call
+    with a 4xx status, if no other engine is left or if the retry budget is used
+    up.  Also raises the errors of `CallPlacer.choose_upstream` and
+    `CallPlacer.acquire_slot` for the next engine.
     """
     while True:
       relay = model_call.Relay(answer=running.stream_answer)
