--- a/src/woadrun/connection/http.py
+++ b/src/woadrun/connection/http.py
@@ -1,4 +1,8 @@
-"""HTTP to the platform's services: timeouts and failures become errors."""
+"""HTTP requests to the platform's services.
+
+Timeouts, connection failures and server errors are raised as
+`platform_unavailable`.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +14,20 @@
 
 from woadrun import errors
 
-RETRY_AFTER = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-  """A whole answer of an outside system."""
+  """A complete response of an external system."""
 
   status: int
   body: bytes
   etag: str = ''
 
 
-class OverRate(errors.WoadrunError):
-  """Raised where a service refuses a call for the rate of all callers."""
+class RateLimited(errors.WoadrunError):
+  """Raised when a service rejects a request over the rate of all callers."""
 
 
 async def send(
@@ -36,12 +40,13 @@
   headers: dict[str, str] | None = None,
   on_silence: Callable[[], None] = lambda: None,
 ) -> Reply:
-  """Returns the answer to one request.
+  """Sends one request and returns its response.
 
-  `on_silence` is called where none came in time on an open connection.
+  `timeout` is in seconds.  `on_silence` is called when the request times out.
 
-  Raises a platform error when there is no answer in time or the service
-  refuses for load or failure; a write may then have taken effect.
+  Raises `platform_unavailable` when there is no response within the timeout
+  or its status is 429, or 500 and above.  Unless the error's `ran` is `not
+  run`, a write may have taken effect.
   """
   limit = aiohttp.ClientTimeout(total=timeout)
   try:
@@ -51,28 +56,28 @@
       data = await response.read()
       etag = response.headers.get('ETag', '')
   except aiohttp.ClientConnectorError as error:
-    raise _unavailable(f'{url}: {error}', errors.Ran.NOT_RUN) from error
+    raise _unavailable(f'{url}: {error}', errors.RunStatus.NOT_RUN) from error
   except (TimeoutError, aiohttp.ClientError, OSError) as error:
     if isinstance(error, TimeoutError):
       on_silence()
-    message = f'{url}: {error or "no answer in time"}'
-    raise _unavailable(message, errors.Ran.UNKNOWN) from error
+    message = f'{url}: {error or "no response within the timeout"}'
+    raise _unavailable(message, errors.RunStatus.UNKNOWN) from error
   if response.status == 429:
-    raise OverRate(
+    raise RateLimited(
       errors.Code.PLATFORM_UNAVAILABLE,
-      f'{url}: over its rate',
-      retry_after=RETRY_AFTER,
+      f'{url}: rate limit exceeded',
+      retry_after=RETRY_AFTER_SECONDS,
     )
   if response.status >= 500:
-    message = f'{url}: answered {response.status}'
-    raise _unavailable(message, errors.Ran.UNKNOWN)
+    message = f'{url}: returned status {response.status}'
+    raise _unavailable(message, errors.RunStatus.UNKNOWN)
   return Reply(status=response.status, body=data, etag=etag)
 
 
-def _unavailable(message: str, ran: errors.Ran) -> errors.WoadrunError:
+def _unavailable(message: str, ran: errors.RunStatus) -> errors.WoadrunError:
   return errors.WoadrunError(
     errors.Code.PLATFORM_UNAVAILABLE,
     message,
     ran=ran,
-    retry_after=RETRY_AFTER,
+    retry_after=RETRY_AFTER_SECONDS,
   )
--- /dev/null
+++ b/src/woadrun/connection/tcp_connections.py
@@ -0,0 +1,109 @@
+"""Replacement of pooled connections that stopped responding.
+
+A pooled connection may stop responding for good, without a reset, while new
+connections work.  aiohttp pools connections by host name, so a request under
+another host name for the same address opens a new connection.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import socket
+from typing import Any
+
+import aiohttp
+from aiohttp import abc
+
+# TCP user timeout: the remote kernel must acknowledge sent data within this
+# time.  A round trip takes a few milliseconds; on links that lose packets TCP
+# retransmits after 0.2, 0.4 and 0.8 s.
+USER_TIMEOUT_MS = 2000
+# TCP keepalive for connections that are idle or only receive: probes start
+# after the idle time and repeat at the interval; the connection is reset after
+# this number of unanswered probes.
+KEEPALIVE_IDLE_SECONDS = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
+
+
+class Addresses:
+  """Maps addresses to host names, so that pooled connections can be abandoned.
+
+  `Resolver` resolves the names.
+  """
+
+  def __init__(self) -> None:
+    self._retirements_by_address: dict[str, int] = {}
+
+  def get_host(self, address: str, *, incarnation_id: str = '') -> str:
+    """Returns the host name and port to use in URLs for IP:PORT.
+
+    `incarnation_id` identifies the process at the address: connections to one
+    process are not reused for its successor.
+    """
+    retirements = self._retirements_by_address.get(address, 0)
+    if not retirements and not incarnation_id:
+      return address
+    key = f'{incarnation_id} {retirements}'.encode()
+    return f'c{hashlib.blake2b(key, digest_size=8).hexdigest()}.{address}'
+
+  def reset_connections(self, address: str) -> None:
+    """Stops the reuse of all connections to an address opened so far."""
+    retirements = self._retirements_by_address.get(address, 0)
+    self._retirements_by_address[address] = retirements + 1
+
+
+class Resolver(abc.AbstractResolver):
+  """Resolves the host names of `Addresses` without a DNS lookup."""
+
+  async def resolve(
+    self,
+    host: str,
+    port: int = 0,
+    family: socket.AddressFamily = socket.AF_INET,
+  ) -> list[abc.ResolveResult]:
+    """Returns the IP address that a host name contains."""
+    _, _, ip = host.partition('.')
+    return [
+      abc.ResolveResult(
+        hostname=host,
+        host=ip,
+        port=port,
+        family=socket.AF_INET,
+        proto=0,
+        flags=socket.AI_NUMERICHOST,
+      )
+    ]
+
+  async def close(self) -> None:
+    """Does nothing: the resolver holds no resources."""
+
+
+def make_connector(*, limit: int, keepalive: float) -> aiohttp.TCPConnector:
+  """Returns a connector that resolves the host names of `Addresses`.
+
+  Its sockets are those of `make_socket`.  At most `limit` connections are
+  open; an idle connection is closed after `keepalive` seconds.
+  """
+  return aiohttp.TCPConnector(
+    limit=limit,
+    keepalive_timeout=keepalive,
+    resolver=Resolver(),
+    use_dns_cache=False,
+    socket_factory=make_socket,
+  )
+
+
+def make_socket(info: tuple[Any, ...]) -> socket.socket:
+  """Returns a socket that is reset when the remote host stops responding."""
+  family, kind, protocol, _, _ = info
+  new_socket = socket.socket(family=family, type=kind, proto=protocol)
+  for level, option, value in (
+    (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
+  ):
+    new_socket.setsockopt(level, option, value)
+  return new_socket
--- /dev/null
+++ b/src/woadrun/process/fleet_heartbeats.py
@@ -0,0 +1,92 @@
+"""Heartbeats of daemons, and the digests of whole failure domains."""
+
+from __future__ import annotations
+
+import dataclasses
+
+import msgspec
+
+
+@dataclasses.dataclass(frozen=True, kw_only=True)
+class Member:
+  """A daemon of the fleet; other daemons reach it at `address`, IP:PORT."""
+
+  name: str
+  address: str
+  domain: str
+
+
+class Digest(msgspec.Struct, kw_only=True, omit_defaults=True):
+  """The state of all members of a domain, as one hub of it reports.
+
+  `age` is how long ago the digest was made, in seconds.  `silent`, `leaving`
+  and `storeless` name the members that the hub does not hear, that are about to
+  stop, and that have no access to the store.  `deaf_to` names the other domains
+  of which any member hears nothing.  `is_owing` and `is_behind` are set if they
+  are set in the heartbeat of any member.  `running` sums the requests that the
+  members have in progress at each instance, `failing` the failures that they
+  saw there; both are None where the receiver gets them from another hub or, for
+  other domains, as the sum `elsewhere` of a heartbeat.  `confirmed` is the
+  newest value of all members.  `oldest` is the age of the oldest heartbeat in
+  the digest when the digest was made, in seconds; it is None until the hub has
+  heard all members, or has been a hub for long enough to call the others
+  silent.
+  """
+
+  hub: str
+  domain: str
+  age: float = 0.0
+  oldest: float | None = None
+  silent: tuple[str, ...] = ()
+  leaving: tuple[str, ...] = ()
+  storeless: tuple[str, ...] = ()
+  deaf_to: tuple[str, ...] = ()
+  is_owing: bool = False
+  is_behind: bool = False
+  running: dict[str, int] | None = None
+  failing: dict[str, float] | None = None
+  confirmed: tuple[float, int] | None = None
+
+
+class FleetHeartbeat(msgspec.Struct, kw_only=True, omit_defaults=True):
+  """A heartbeat datagram: the state of one daemon, as it reports itself.
+
+  `woadrun.connection.messages.Heartbeat` is another kind of heartbeat, which
+  membership.py exchanges by request and response.
+
+  `feeds` holds the number of the newest known change of each table.  `running`
+  counts the requests that the daemon has in progress at each instance,
+  `failing` the recent failures that it saw there, with older ones counting
+  less.  `silent` names the domains of which the daemon hears nothing.
+  `is_owing` says that the daemon has spent from the budgets of other domains'
+  programs and that the store does not have this spending yet, `is_behind` that
+  the store lacks data of this daemon that others need before they decide.
+  `wants_digests` asks the receiver for digests; a hub sends them in `digests`,
+  and the requests that all other domains have in progress, summed by instance,
+  in `elsewhere`.  `confirmed` holds a reading of the store's clock, in seconds,
+  and the newest change of the routing table made before it.
+  """
+
+  name: str
+  address: str
+  domain: str
+  has_store: bool = False
+  feeds: dict[str, int] = {}
+  is_leaving: bool = False
+  running: dict[str, int] = {}
+  failing: dict[str, float] = {}
+  silent: tuple[str, ...] = ()
+  is_owing: bool = False
+  is_behind: bool = False
+  wants_digests: bool = False
+  digests: tuple[Digest, ...] = ()
+  elsewhere: dict[str, int] | None = None
+  confirmed: tuple[float, int] | None = None
+
+
+@dataclasses.dataclass(kw_only=True)
+class LastHeartbeat:
+  """The last heartbeat of a peer; `at` is its monotonic time of arrival."""
+
+  heartbeat: FleetHeartbeat
+  at: float
--- a/src/woadrun/process/node.py
+++ b/src/woadrun/process/node.py
@@ -1,7 +1,7 @@
-"""One daemon on a platform that tells it routes and upstreams by feeds.
+"""One daemon on a platform that provides routes and upstreams through feeds.
 
-The daemon holds nothing that must last.  What is particular to a platform
-is handed in: its store, how requests reach instances, how its rows read.
+The daemon holds no durable state.  The platform-specific parts are injected:
+the store, the transport of requests to instances, and the decoding of rows.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 from woadrun import errors
 from woadrun.connection import endpoints
-from woadrun.connection import fresh
 from woadrun.connection import peers
-from woadrun.connection import quota_messages
+from woadrun.connection import rate_messages
 from woadrun.connection import rows
+from woadrun.connection import tcp_connections
 from woadrun.connection import turn_messages
-from woadrun.process import beats
 from woadrun.process import catalogue
 from woadrun.process import counters
 from woadrun.process import datagram_calls
 from woadrun.process import feed_sync
 from woadrun.process import fleet
+from woadrun.process import fleet_heartbeats
 from woadrun.process import loads
 from woadrun.process import peer_messages
 from woadrun.process import programs
-from woadrun.process import rate_keeper
+from woadrun.process import rate_owner
 from woadrun.process import registration
 from woadrun.process import store_access
 from woadrun.process import store_clock
@@ -47,41 +47,45 @@
 from woadrun.request import exchange
 from woadrun.request import rates
 from woadrun.request import serving
-from woadrun.request import turn_leave
+from woadrun.request import turn_client
 from woadrun.version import instances
 from woadrun.version import routes
 
 log = logging.getLogger('woadrun.node')
 
-# Connections to peers, the store and upstreams; descriptors are bounded.
-MOST_CONNECTIONS = 3000
-# A connection to an upstream that rested so long is not used again, in
-# seconds: one that the upstream is just closing loses a request.
-REUSE_SECONDS = 4.0
-# Until a call of the store counts as lost, in seconds.  A store that takes
-# longer than this is of less use to a turn than the standby's word.
-STORE_SECONDS = 0.8
-# The balancer asks every second and takes a daemon out after two misses.
-UNREADY_SECONDS = 2.5
-# Before the platform kills the process, in seconds.
+# Limit of the connections to peers, the store and upstreams, because file
+# descriptors are limited.
+MAX_CONNECTIONS = 3000
+# Keep-alive timeout of an idle connection to an upstream.  A request on a
+# connection that the upstream is just closing is lost.
+KEEPALIVE_TIMEOUT_SECONDS = 4.0
+# Timeout of a call of the store.  A turn gains less from a store that takes
+# longer than from the acknowledgement of the standby.
+STORE_TIMEOUT_SECONDS = 0.8
+# Delay before listeners close at a planned stop: the load balancer checks
+# readiness every second and removes a daemon after two failed checks.
+DRAIN_DELAY_SECONDS = 2.5
+# Margin before the platform kills the process.
 KILL_MARGIN_SECONDS = 0.3
-# For what the store lacks at the end of a planned stop, in seconds.
-FLUSH_SECONDS = 0.5
-POLL_SECONDS = 0.05
-# Largest message between daemons, in bytes: a long history.
-PEER_BYTES = 64 * 1024 * 1024
-LOOK_SECONDS = 1.0
-# Messages between daemons carry turns as bytes, which JSON makes a third
-# larger.
+# Time for storing unsaved turns at the end of a planned stop.
+FLUSH_TIMEOUT_SECONDS = 0.5
+FLUSH_RETRY_DELAY_SECONDS = 0.05
+# Maximum size of a message between daemons, enough for a long history.
+MAX_PEER_MESSAGE_BYTES = 64 * 1024 * 1024
+CLEANUP_INTERVAL_SECONDS = 1.0
+# Codec of messages between daemons.  They carry turns as bytes, which JSON
+# would enlarge by a third.
 CODEC = msgspec.msgpack
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NodeSettings:
-  """Where the daemon stands; addresses are IP:PORT, times in seconds.
+  """Location and limits of the daemon.
 
-  `revocation` is how long a key may be used after it was revoked, by daemons
-  out of touch as well; None where that is not bounded.
+  Addresses are IP:PORT, times in seconds.  `row_bytes` is the maximum size of a
+  row.  `grace` is the time from the start of a planned stop until the platform
+  kills the process.  `revocation` is the time for which a key may be used after
+  it was revoked, also by daemons that are cut off; None if that is not bounded.
   """
 
   name: str
@@ -97,13 +101,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Binding:
-  """What a platform adapter provides.
+  """The parts that a platform adapter provides.
 
-  `grace` is how long an instance's entry that lapsed while the store was
-  away may take to come back, in seconds.
+  `grace` is the time in seconds within which an instance whose entry expired
+  while the store was unavailable may register again.
   """
 
-  addresses: fresh.Addresses
+  addresses: tcp_connections.Addresses
   store: rows.RowStore
   upstreams: exchange.Upstreams
   table_key: rows.Key
@@ -117,7 +121,7 @@
 
 
 class Node(mode.Service):
-  """All parts of one process."""
+  """The services of one daemon process."""
 
   def __init__(
     self,
@@ -154,13 +158,13 @@
       domain=config.domain,
       is_silent=lambda domain: self.fleet.is_silent(domain),
     )
-    me = beats.Member(
+    me = fleet_heartbeats.Member(
       name=config.name, address=config.peers_address, domain=config.domain
     )
     self.fleet = fleet.Fleet(
       me=me,
-      make_beat=self._make_beat,
-      on_beat=self._take_beat,
+      make_fleet_heartbeat=self._make_beat,
+      on_heartbeat=self._take_beat,
       on_digest=self._take_digest,
     )
     self.registration = registration.Registration(
@@ -189,24 +193,24 @@
       members=self.fleet, store=self.store, turns=turns, links=self.calls
     )
     access = authorization.Authorization(known=self.catalogue)
-    self.rate_keeper = rate_keeper.RateKeeper(
+    self.rate_owner = rate_owner.RateOwner(
       members=self.fleet,
-      is_told=lambda: self.registration.feed.version is not None,
+      has_member_list=lambda: self.registration.feed.version is not None,
     )
-    self.serving = serving.Serving(
+    self.serving = serving.RequestHandler(
       known=self.catalogue,
       access=access,
-      limits=rates.Rates(
-        members=self.fleet, local=self.rate_keeper, links=self.calls
+      limits=rates.RateLimitClient(
+        members=self.fleet, local=self.rate_owner, links=self.calls
       ),
-      send=attempts.Attempts(
+      send=attempts.RequestSender(
         known=self.catalogue,
         load=self.loads,
         access=access,
         upstreams=binding.upstreams,
-        is_cut_off=self._is_cut_off,
+        is_partitioned=self._is_cut_off,
       ),
-      leave=turn_leave.TurnLeave(
+      leave=turn_client.TurnClient(
         members=self.fleet,
         local=self.programs,
         links=self.calls,
@@ -218,14 +222,14 @@
     )
     self._handler_by_path.update(
       (path, peer_messages.make_handler(type, answer, codec=CODEC))
-      for path, type, answer in self._get_answers()
+      for path, type, answer in self._list_handlers()
     )
     self.sweeper = sweeper.Sweeper(store=self.store, members=self.fleet)
     self.counters.add_gauges(self._read_gauges)
     self._runner: web.ServerRunner | None = None
 
   async def on_start(self) -> None:
-    """Listens to peers and begins to follow the platform."""
+    """Starts listening for peers and following the platform."""
     await self._listen()
     for part in (
       self.store,
@@ -234,14 +238,16 @@
       self.catalogue,
       self.feeds,
       self.programs,
-      self.rate_keeper,
+      self.rate_owner,
       self.sweeper,
     ):
       await self.add_runtime_dependency(part)
-    log.info('Started %s in %s.', self.config.name, self.config.domain)
+    log.info(
+      'Started daemon %s in domain %s.', self.config.name, self.config.domain
+    )
 
   async def on_shutdown(self) -> None:
-    """Closes the listener to peers."""
+    """Closes the listener for peers."""
     if self._runner is not None:
       await self._runner.cleanup()
 
@@ -251,16 +257,17 @@
     return self.fleet.is_leaving
 
   def is_ready(self) -> bool:
-    """Returns whether new callers are welcome."""
+    """Returns whether the daemon accepts new requests."""
     return self.catalogue.is_known and not self.is_leaving
 
   def _get_outage(self) -> float:
-    return max(self.store.outage, self.fleet.get_silence())
+    return max(self.store.outage, self.fleet.get_domain_silence_seconds())
 
   def _is_cut_off(self, domain: str) -> bool:
-    # On the side that has the store an instance behind a cut may be well, and
-    # its callers decide how long they wait.
-    return not self.store.is_reached and self.fleet.is_silent(domain)
+    # A daemon that can reach the store keeps waiting for an instance in a
+    # domain that is cut off: the instance may be healthy, and its callers
+    # decide how long to wait.
+    return not self.store.is_reachable and self.fleet.is_silent(domain)
 
   def _read_gauges(self) -> dict[str, float]:
     return {
@@ -272,7 +279,7 @@
       'instances_known': len(self.catalogue.directory.by_id),
       'instances_avoided': len(self.loads.health.avoided),
       'instance_rows_unreadable': self.catalogue.unreadable,
-      'rates_kept': len(self.rate_keeper),
+      'rates_kept': len(self.rate_owner),
       'table_version': self.catalogue.version,
       'table_age_seconds': self.catalogue.age.get(),
       'store_is_direct': self.store.is_direct,
@@ -282,59 +289,59 @@
 
   # --- Datagrams between daemons --------------------------------------------
 
-  def _make_beat(self) -> beats.Beat:
-    return beats.Beat(
+  def _make_beat(self) -> fleet_heartbeats.FleetHeartbeat:
+    return fleet_heartbeats.FleetHeartbeat(
       name=self.config.name,
       address=self.config.peers_address,
       domain=self.config.domain,
-      has_store=self.store.has_answers,
+      has_store=self.store.is_responsive,
       feeds=self.feeds.get_versions(),
       is_leaving=self.is_leaving,
-      running=self.loads.tell_running(),
+      running=self.loads.report_running(),
       failing=self.loads.health.tell(),
-      silent=tuple(self.fleet.find_silent()),
+      silent=tuple(self.fleet.find_silent_domains()),
       is_owing=self.programs.is_owing,
       is_behind=self.programs.is_behind,
-      confirmed=self.catalogue.tell_confirmed(),
+      confirmed=self.catalogue.get_confirmation(),
     )
 
-  def _take_beat(self, beat: beats.Beat) -> None:
-    if self.fleet.is_mesh:
-      # In large fleets digests have the sums.
-      self.loads.take_beat(beat)
-    elif beat.elsewhere is not None:
-      self.loads.take_elsewhere(beat.elsewhere)
-    self.feeds.take_beat(beat)
-    if beat.confirmed is not None:
-      self.catalogue.age.take(*beat.confirmed)
-
-  def _take_digest(self, digest: beats.Digest) -> None:
-    self.loads.take_digest(digest)
+  def _take_beat(self, heartbeat: fleet_heartbeats.FleetHeartbeat) -> None:
+    if self.fleet.is_full_mesh:
+      # In large fleets, digests carry the sums.
+      self.loads.take_beat(heartbeat)
+    elif heartbeat.elsewhere is not None:
+      self.loads.record_other_domains(heartbeat.elsewhere)
+    self.feeds.take_beat(heartbeat)
+    if heartbeat.confirmed is not None:
+      self.catalogue.age.take(*heartbeat.confirmed)
+
+  def _take_digest(self, digest: fleet_heartbeats.Digest) -> None:
+    self.loads.record_domain_counts(digest)
     if digest.confirmed is not None:
       self.catalogue.age.take(*digest.confirmed)
 
   @mode.Service.task
-  async def _forget_often(self) -> None:
+  async def _clean_up_periodically(self) -> None:
     while not self.should_stop:
-      await ticks.sleep(LOOK_SECONDS)
-      self.loads.forget(self.catalogue.directory.get_lives())
+      await ticks.sleep(CLEANUP_INTERVAL_SECONDS)
+      self.loads.forget(self.catalogue.directory.get_incarnation_ids())
       self.loads.health.log_changes()
 
   # --- Messages of peers ----------------------------------------------------
 
   async def _listen(self) -> None:
-    # Paths are few and fixed: the library's routing and middleware would only
-    # add to each message.
+    # Paths are few and fixed, so that the routing and middleware of aiohttp
+    # would only add overhead to each message.
     server = web.Server(
       _make_dispatcher(self._handler_by_path),
       access_log=None,
-      request_factory=make_request_factory(PEER_BYTES),
+      request_factory=make_request_factory(MAX_PEER_MESSAGE_BYTES),
     )
     self._runner = web.ServerRunner(server)
     await self._runner.setup()
     await listen(self._runner, self.config.peers_address)
 
-  def _get_answers(self) -> list[tuple[str, Any, Handler]]:
+  def _list_handlers(self) -> list[tuple[str, Any, Handler]]:
     intake = self.programs.intake
     return [
       ('program/open', turn_messages.OpenTurn, self.programs.open),
@@ -343,20 +350,24 @@
       (
         'program/copy',
         turn_messages.LedgerCopy,
-        intake.take_copy,
+        intake.handle_copy,
       ),
       (
         'program/far',
         turn_messages.LedgerCopy,
-        intake.take_far_copy,
+        intake.handle_remote_copy,
+      ),
+      ('program/ask', turn_messages.ProgramQuery, intake.tell),
+      (
+        'turns/stored',
+        turn_messages.StoredTurnsQuery,
+        intake.find_stored_turns,
       ),
-      ('program/ask', turn_messages.AskProgram, intake.tell),
-      ('turns/stored', turn_messages.AskStored, intake.tell_stored),
       ('store/change', turn_messages.StoreChange, self.relay.change),
       ('store/read', turn_messages.StoreRead, self.relay.read),
       ('store/follow', turn_messages.StoreFollow, self.relay.follow),
-      ('rate/take', quota_messages.TakeUnit, self.rate_keeper.answer),
-      ('feed', turn_messages.AskFeed, self.feeds.answer),
+      ('rate/take', rate_messages.AcquireRate, self.rate_owner.answer),
+      ('feed', turn_messages.FeedQuery, self.feeds.answer),
     ]
 
   async def _open_new(
@@ -367,33 +378,40 @@
   # --- Stopping -------------------------------------------------------------
 
   async def leave(self) -> None:
-    """Returns once no new callers come: listeners may close then."""
+    """Starts a planned stop; returns when listeners may be closed.
+
+    The load balancer sends no new requests then.
+    """
     self.fleet.is_leaving = True
     started = time.monotonic()
-    log.info('Leaving with %d requests running.', self.serving.active)
-    self.fleet.send_beats()
+    log.info(
+      'Planned stop started with %d running requests.', self.serving.active
+    )
+    self.fleet.send_heartbeats()
     await self.programs.hand_over()
     try:
       await self.registration.unregister()
     except errors.WoadrunError as error:
-      log.warning('Still registered: %s', error.message)
-    rest = started + UNREADY_SECONDS - time.monotonic()
-    await asyncio.sleep(max(0.0, rest))
+      log.warning('Cannot unregister: %s', error.message)
+    delay = started + DRAIN_DELAY_SECONDS - time.monotonic()
+    await asyncio.sleep(max(0.0, delay))
 
   async def finish(self) -> None:
-    """Brings to the store what it lacks, after the last request."""
-    deadline = time.monotonic() + FLUSH_SECONDS
+    """Flushes unsaved turns to the store after the last request."""
+    deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
     while (
       not await self.programs.flusher.flush() and time.monotonic() < deadline
     ):
-      await asyncio.sleep(POLL_SECONDS)
-    log.info('Left with %d turns unsaved.', len(self.programs.unsaved))
+      await asyncio.sleep(FLUSH_RETRY_DELAY_SECONDS)
+    log.info(
+      'Planned stop finished with %d unsaved turns.', len(self.programs.unsaved)
+    )
 
 
-def get_finish_seconds(config: NodeSettings) -> float:
-  """Returns how long running requests may take at a planned stop."""
-  used = UNREADY_SECONDS + FLUSH_SECONDS + KILL_MARGIN_SECONDS
-  return max(0.0, config.grace - used)
+def get_request_grace_seconds(config: NodeSettings) -> float:
+  """Returns the seconds for running requests to finish at a planned stop."""
+  reserved = DRAIN_DELAY_SECONDS + FLUSH_TIMEOUT_SECONDS + KILL_MARGIN_SECONDS
+  return max(0.0, config.grace - reserved)
 
 
 async def listen(runner: web.BaseRunner, address: str) -> None:
@@ -402,8 +420,8 @@
   await web.TCPSite(runner, host, port, reuse_address=True).start()
 
 
-def make_request_factory(most: int) -> Callable[..., web.BaseRequest]:
-  """Returns the library's own factory, with a bound of a body in bytes."""
+def make_request_factory(max_bytes: int) -> Callable[..., web.BaseRequest]:
+  """Returns the request factory of aiohttp with a maximum body size."""
 
   def make(*parts: Any) -> web.BaseRequest:
     message, payload, protocol, writer, task = parts
@@ -414,7 +432,7 @@
       writer,
       task,
       asyncio.get_running_loop(),
-      client_max_size=most,
+      client_max_size=max_bytes,
     )
 
   return make
--- a/src/woadrun/process/ownership.py
+++ b/src/woadrun/process/ownership.py
@@ -1,9 +1,17 @@
-"""Who serves a slot, and how it passes from one daemon to another.
-
-A batch of records counts as committed once the slot's standby has it
-under the slot's epoch.  A standby that takes over first stops to
-acknowledge the old epoch; so no clock is trusted, and an owner that was
-frozen finds out before any effect.  The roster row says who won.
+"""Ownership of slots: commits, replication to standbys and changes of owner.
+
+A slot is a numbered part of a failure domain's programs.  The domain's roster,
+a row of the table service (the table), names each slot's pair, which is its
+owner and its standby, and its epoch, the roster version at which the pair last
+changed.  While the table is unavailable, a daemon may claim a slot: it serves
+the slot under a higher version within the epoch, without a change of the roster
+(see `outage`).
+
+A batch of records is committed once the slot's standby has acknowledged it
+under the slot's epoch.  A standby stops acknowledging the old epoch before it
+takes over.  The protocol therefore relies on no clock, and an owner that was
+frozen learns of its replacement before it causes any effect.  If two daemons
+serve a slot nevertheless, the roster row decides which of them is the owner.
 """
 
 from __future__ import annotations
@@ -21,7 +29,7 @@
 from woadrun import settings
 from woadrun.connection import messages
 from woadrun.connection import peers
-from woadrun.decisions import pace
+from woadrun.decisions import write_rate
 from woadrun.process import copies
 from woadrun.process import membership
 from woadrun.process import replication
@@ -32,19 +40,20 @@
 
 log = logging.getLogger('woadrun.ownership')
 
-SYNC_TIMEOUT = 3.0
-ANNOUNCE_TIMEOUT = 3.0
-# A slot whose standby acknowledged something so lately is surely ours.
-CONFIRMED_SECONDS = 1.0
-# The part of the platform's writes that checkpoints may take.
-CHECKPOINT_SHARE = 0.2
+SYNC_TIMEOUT_SECONDS = 3.0
+HANDOVER_TIMEOUT_SECONDS = 3.0
+# Within this time of a slot's last acknowledgement, `confirm` returns without a
+# new round trip.
+CONFIRMATION_TTL_SECONDS = 1.0
+# Share of the platform's write rate that checkpoints may use.
+CHECKPOINT_WRITE_SHARE = 0.2
 
 # Called when this daemon becomes the owner of a slot.
-OwnedListener = Callable[[slots.Holding], None]
+OwnedListener = Callable[[slots.OwnedSlot], None]
 
 
 class Ownership(mode.Service):
-  """The slots of this daemon, and the steps that change who holds them."""
+  """The slots that this daemon owns or replicates, and their transitions."""
 
   def __init__(
     self,
@@ -52,7 +61,7 @@
     config: settings.Settings,
     members: membership.Membership,
     links: peers.Peers,
-    store: storage.Storage,
+    store: storage.SlotStorage,
   ) -> None:
     super().__init__()
     self._config = config
@@ -61,120 +70,152 @@
     self._store = store
     self._answers = config.limits.answers
     self._address = config.daemon.address
-    self.holding_by_slot: dict[int, slots.Holding] = {}
+    self.owned_slot_by_number: dict[int, slots.OwnedSlot] = {}
     self.copies = copies.Copies(
       members=members,
       address=self._address,
       answers=self._answers,
-      is_held=lambda number: number in self.holding_by_slot,
+      is_owned=lambda number: number in self.owned_slot_by_number,
     )
     self.replica_by_slot = self.copies.replica_by_slot
     self._loading: set[int] = set()
-    # The epochs at which slots were left to their standbys.
-    self._yielded: dict[int, int] = {}
-    self.on_owned: OwnedListener = lambda holding: None
+    # The epoch, by slot, within which another daemon claimed a slot that this
+    # daemon owned.
+    self._yielded_epoch_by_slot: dict[int, int] = {}
+    self.on_slot_owned: OwnedListener = lambda holding: None
+    # Returns the calls of a slot that run here, as slot number, program id and
+    # request id.
     self.get_running: Callable[[int], list[tuple[int, str, str]]] = (
       lambda slot: []
     )
+    # Counts the slots whose history here diverged from that of the new owner.
     self.forks = 0
     self.streams = replication.Replication(
       address=self._address,
       links=links,
       timeout=config.timing.commit,
-      on_ack=self._note_ack,
-      is_wanted=self._is_wanted,
+      on_ack=self._handle_ack,
+      is_pending=self._is_pending,
     )
     members.listeners.append(self._on_roster)
     members.directory.claims = self.get_claims
 
   async def on_stop(self) -> None:
-    """Ends the streams to the standbys."""
+    """Stops the replication streams to the standbys."""
     await self.streams.on_stop()
 
   # --- Committing -----------------------------------------------------------
 
-  async def open(self, number: int) -> slots.Holding:
-    """Returns an owned slot that can be appended to right now.
+  async def open(self, number: int) -> slots.OwnedSlot:
+    """Returns an owned slot that accepts appends.
 
-    Waits while the slot changes hands.  Raises `not_owner` otherwise.
+    Waits while the slot is being loaded, copied or transferred.  Raises
+    `not_owner` if this daemon does not own the slot, or if the wait exceeds
+    `timing.hold`.
     """
     deadline = time.monotonic() + self._config.timing.hold
     while True:
-      holding = self.holding_by_slot.get(number)
-      is_coming = number in self._loading
+      holding = self.owned_slot_by_number.get(number)
+      is_loading = number in self._loading
       if holding is not None and holding.opened.is_set():
         return holding
-      if (holding is None and not is_coming) or time.monotonic() > deadline:
-        raise slots.make_not_owner(f'Slot {number} is not owned here.')
+      if (holding is None and not is_loading) or time.monotonic() > deadline:
+        raise slots.make_not_owner_error(
+          f'Slot {number} is not served by this daemon.'
+        )
       if holding is None:
         await asyncio.sleep(self._config.timing.heartbeat / 10)
         continue
+      # Checks every 0.5 s for the deadline and for a change of owner.
       with contextlib.suppress(asyncio.TimeoutError):
         await asyncio.wait_for(holding.opened.wait(), 0.5)
 
   def append(
-    self, holding: slots.Holding, records: list[program.Record]
-  ) -> slots.Ticket:
-    """Returns the ticket of records that are applied here at once."""
-    if self.holding_by_slot.get(holding.number) is not holding:
-      raise slots.make_not_owner(f'Slot {holding.number} was given away.')
+    self, holding: slots.OwnedSlot, records: list[program.Record]
+  ) -> slots.PendingBatch:
+    """Applies records to an owned slot and returns their ticket.
+
+    The ticket completes once the standby has acknowledged the records.  Without
+    a standby, it completes once the platform has stored them, or with `NOWHERE`
+    if that fails.  It fails if another daemon takes the slot over.  Raises
+    `not_owner` if this daemon no longer owns the slot or the slot accepts no
+    appends now.
+    """
+    if self.owned_slot_by_number.get(holding.number) is not holding:
+      raise slots.make_not_owner_error(
+        f'Slot {holding.number} has another owner now.'
+      )
     ticket = holding.append(
       records,
       answers=self._answers,
-      written=self._store.get_written(holding.number),
+      written=self._store.get_written_sequence(holding.number),
     )
     self._store.add(ticket.append)
     if holding.standby:
       self.streams.send(holding.standby, ticket.append)
     else:
-      self.add_future(self._settle_alone(holding, ticket))
+      self.add_future(self._commit_without_standby(holding, ticket))
     return ticket
 
-  async def settle(self, ticket: slots.Ticket, *, is_strong: bool) -> None:
+  async def settle(
+    self, ticket: slots.PendingBatch, *, is_strong: bool
+  ) -> None:
     """Returns once a batch is committed.
 
-    A strong commit, that an action needs, has to be held by the standby
-    or the platform; without either only the others are let through.
+    A strong commit requires that the standby or the platform has stored the
+    batch.  It is used for an action, a call that must not be executed twice.
+    Without `is_strong`, a batch that neither of them stores counts as committed
+    too, once its ticket completes.  Raises `not_committed` if the batch is not
+    committed within `timing.commit`, `not_owner` if another daemon took the
+    slot over, and `isolated` if this daemon is isolated.
     """
-    await self._members.confirm()
+    await self._members.confirm_not_isolated()
     retry_after = self._config.timing.silent_after
     try:
       held = await asyncio.wait_for(
-        asyncio.shield(ticket.held), self._config.timing.commit
+        asyncio.shield(ticket.durability), self._config.timing.commit
       )
     except TimeoutError:
-      raise slots.make_not_committed(
-        'No other daemon holds the record yet.', retry_after=retry_after
+      raise slots.make_not_committed_error(
+        'No other daemon has acknowledged the record yet.',
+        retry_after=retry_after,
       ) from None
-    if is_strong and held < slots.Held.PLATFORM:
-      raise slots.make_not_committed(
-        'Neither the standby nor the platform can hold the intent.',
+    if is_strong and held < slots.Durability.PLATFORM:
+      raise slots.make_not_committed_error(
+        'Neither the standby nor the platform has stored the record.',
         retry_after=retry_after,
       )
 
-  async def confirm(self, holding: slots.Holding) -> None:
-    """Returns once a fresh round trip shows that the slot is still ours."""
+  async def confirm(self, holding: slots.OwnedSlot) -> None:
+    """Returns once an acknowledgement shows that this daemon owns the slot.
+
+    Called before an answer that appends no record.  If the last acknowledgement
+    is too old, commits an empty batch and raises the errors of `append` and
+    `settle`.  As there, a batch that neither the standby nor the platform
+    stores is sufficient.
+    """
     age = time.monotonic() - holding.confirmed_at
-    if age > CONFIRMED_SECONDS:
+    if age > CONFIRMATION_TTL_SECONDS:
       await self.settle(self.append(holding, []), is_strong=False)
 
-  async def _settle_alone(
-    self, holding: slots.Holding, ticket: slots.Ticket
+  async def _commit_without_standby(
+    self, holding: slots.OwnedSlot, ticket: slots.PendingBatch
   ) -> None:
+    # Half of the time that `settle` waits, so that the ticket completes first.
     wait = self._config.timing.commit / 2
     if self._members.is_platform_up():
       try:
-        await asyncio.wait_for(self._store.wait_flushed(ticket.append), wait)
+        await asyncio.wait_for(self._store.wait_stored(ticket.append), wait)
       except TimeoutError:
-        ticket.settle(slots.Held.NOWHERE)
+        ticket.settle(slots.Durability.NOWHERE)
         return
       holding.confirmed_at = time.monotonic()
-      ticket.settle(slots.Held.PLATFORM)
+      ticket.settle(slots.Durability.PLATFORM)
       return
-    ticket.settle(slots.Held.NOWHERE)
+    ticket.settle(slots.Durability.NOWHERE)
 
-  def _is_wanted(self, standby: str, append: messages.Append) -> bool:
-    holding = self.holding_by_slot.get(append.slot)
+  def _is_pending(self, standby: str, append: messages.Append) -> bool:
+    holding = self.owned_slot_by_number.get(append.slot)
     return (
       holding is not None
       and holding.standby == standby
@@ -182,47 +223,58 @@
       and any(t.append.sequence == append.sequence for t in holding.tickets)
     )
 
-  def _note_ack(self, standby: str, ack: messages.Ack) -> None:
-    holding = self.holding_by_slot.get(ack.slot)
+  def _handle_ack(self, standby: str, ack: messages.Ack) -> None:
+    holding = self.owned_slot_by_number.get(ack.slot)
     if holding is None or holding.standby != standby:
       return
-    if ack.verdict == slots.Verdict.OK:
-      holding.settle(ack.sequence, self._get_weight(holding))
-    elif ack.verdict == slots.Verdict.GAP:
+    if ack.verdict == slots.AckStatus.OK:
+      holding.settle(ack.sequence, self._get_ack_level(holding))
+    elif ack.verdict == slots.AckStatus.GAP:
       self.add_future(self._resync(holding))
     else:
-      holding.fail(slots.make_not_owner(f'Slot {ack.slot} was taken over.'))
-      self.add_future(self._refresh())
+      holding.fail(
+        slots.make_not_owner_error(
+          f'Slot {ack.slot} was taken over by another daemon.'
+        )
+      )
+      self.add_future(self._refresh_roster())
 
-  def _get_weight(self, holding: slots.Holding) -> slots.Held:
-    """Returns what an acknowledgement of the slot's standby counts for.
+  def _get_ack_level(self, holding: slots.OwnedSlot) -> slots.Durability:
+    """Returns the commit level of an acknowledgement by the slot's standby.
 
-    While the table is out only the other one of the pair that the table
-    names can vouch that nobody else acts for the slot.
+    A slot is claimed while the table is unavailable.  Then only the other
+    daemon of the pair in the roster can guarantee that no other daemon serves
+    the slot.
     """
     entry = self._members.roster.slots[holding.number]
     is_pair = holding.standby in (entry.owner, entry.standby)
-    is_sure = is_pair or not holding.is_claimed
-    return slots.Held.STANDBY if is_sure else slots.Held.HELPER
+    is_certain = is_pair or not holding.is_claimed
+    return slots.Durability.STANDBY if is_certain else slots.Durability.HELPER
 
-  async def _refresh(self) -> None:
+  async def _refresh_roster(self) -> None:
     try:
-      await self._members.refresh()
+      await self._members.refresh_roster()
     except errors.WoadrunError as error:
-      log.debug('Roster not read: %s', error)
+      log.debug('Roster read failed: %s', error)
 
-  # --- The roster in force --------------------------------------------------
+  # --- Applying the roster --------------------------------------------------
 
   def get_claims(self) -> dict[int, roster.Version]:
-    """Returns the slots served without the table's word, with the version."""
+    """Returns the versions of the claimed slots, by slot number.
+
+    A claimed slot is served here although the roster row does not say so.
+    """
     return {
       number: holding.version
-      for number, holding in self.holding_by_slot.items()
+      for number, holding in self.owned_slot_by_number.items()
       if holding.is_claimed
     }
 
-  def find_copied(self, message: messages.Copies) -> messages.Copies:
-    """Returns which slots this daemon serves as claims or has a copy of."""
+  def find_available_slots(self, message: messages.Copies) -> messages.Copies:
+    """Returns the requested slots that this daemon claims or has a copy of.
+
+    Copies of earlier epochs do not count.
+    """
     known = self._members.roster.slots
     claims = self.get_claims()
     copied = [
@@ -239,140 +291,159 @@
   def _on_roster(self, new: roster.Roster) -> None:
     for number, entry in enumerate(new.slots):
       if entry.owner == self._address:
-        self._hold(number, entry)
+        self._own(number, entry)
       else:
-        self._give_up(number, entry)
+        self._release(number, entry)
 
-  def _hold(self, number: int, entry: roster.Slot) -> None:
-    holding = self.holding_by_slot.get(number)
+  def _own(self, number: int, entry: roster.Slot) -> None:
+    holding = self.owned_slot_by_number.get(number)
     if holding is not None:
-      self._follow(holding, entry)
+      self._update_pair(holding, entry)
       return
-    if self._yielded.get(number) == entry.epoch:
-      # The standby serves the slot, and will tell the table so.
+    if self._yielded_epoch_by_slot.get(number) == entry.epoch:
+      # Another daemon claimed the slot and will record that in the roster row.
       return
-    copy = self.copies.take(number, entry.owner_before)
+    copy = self.copies.pop(number, entry.owner_before)
     if copy is not None:
       holding = _make_holding(number, entry, copy.state)
-      self._begin(holding, copy.tail)
-      self.add_future(self._check_standby(holding))
+      self._start_serving(holding, copy.tail)
+      self.add_future(self._probe_standby(holding))
     elif entry.before == 0:
-      # Nobody has ever held the slot: it is empty.
-      self._begin(_make_holding(number, entry, program.SlotState()))
+      # No daemon has owned the slot before, so it is empty.
+      self._start_serving(_make_holding(number, entry, program.SlotState()))
     elif number not in self._loading:
       self._loading.add(number)
-      self.add_future(self._load(number))
+      self.add_future(self._load_from_platform(number))
 
-  def _follow(self, holding: slots.Holding, entry: roster.Slot) -> None:
+  def _update_pair(self, holding: slots.OwnedSlot, entry: roster.Slot) -> None:
     if holding.epoch == entry.epoch:
       return
     holding.version = roster.Version(entry.epoch)
     holding.standby = entry.standby
     holding.is_claimed = False
-    standby, sequence = holding.synced
+    standby, sequence = holding.copied_to
     if standby and standby == entry.standby:
-      holding.settle(sequence, slots.Held.STANDBY)
+      holding.settle(sequence, slots.Durability.STANDBY)
     elif entry.standby:
-      self.add_future(self._check_standby(holding))
+      self.add_future(self._probe_standby(holding))
     for ticket in holding.tickets:
-      self.add_future(self._settle_alone(holding, ticket))
+      self.add_future(self._commit_without_standby(holding, ticket))
 
-  async def _check_standby(self, holding: slots.Holding) -> None:
+  async def _probe_standby(self, holding: slots.OwnedSlot) -> None:
     """Sends an empty batch, which a standby without a copy reports as a gap.
 
-    The write of a pair may succeed although its answer is lost and the standby
-    was told to drop its copy.  A slot without calls would stay without a copy,
-    and nobody could take it over.
+    The write of a new pair to the roster row may succeed although the table
+    service's answer is lost.  The slot's owner then tells the new standby to
+    drop its copy.  Without this check, a slot without calls would stay without
+    a copy, and no daemon could take it over.
     """
     try:
       current = await self.open(holding.number)
       if current.standby:
         self.append(current, [])
     except errors.WoadrunError as error:
-      log.debug('Slot %d not checked: %s', holding.number, error)
+      log.debug('Standby check of slot %d failed: %s', holding.number, error)
 
-  def _begin(
-    self, holding: slots.Holding, tail: Iterable[messages.Append] = ()
+  def _start_serving(
+    self, holding: slots.OwnedSlot, tail: Iterable[messages.Append] = ()
   ) -> None:
     self._store.begin(holding.number, tail)
     holding.opened.set()
-    self.holding_by_slot[holding.number] = holding
-    self.on_owned(holding)
+    self.owned_slot_by_number[holding.number] = holding
+    self.on_slot_owned(holding)
 
   def begin_claim(self, number: int, replica: slots.Replica) -> None:
-    """Serves a slot that this daemon stood by for, without the table's word."""
+    """Starts serving a slot from the local replica, without a table write."""
     del self.replica_by_slot[number]
-    holding = slots.Holding(
+    holding = slots.OwnedSlot(
       number=number, version=replica.version, standby='', state=replica.state
     )
     holding.claim(self._address)
-    self._begin(holding, replica.tail)
+    self._start_serving(holding, replica.tail)
 
-  def _give_up(self, number: int, entry: roster.Slot) -> None:
-    holding = self.holding_by_slot.get(number)
+  def _release(self, number: int, entry: roster.Slot) -> None:
+    holding = self.owned_slot_by_number.get(number)
     if holding and holding.is_claimed and holding.epoch == entry.epoch:
-      # Only other slots changed; the table does not know of the claim yet.
+      # The roster changed other slots only and does not include this daemon's
+      # claim yet.
       return
-    self.holding_by_slot.pop(number, None)
+    self.owned_slot_by_number.pop(number, None)
     self._loading.discard(number)
     if holding is not None:
-      self._drop(holding, entry)
+      self._stop_serving(holding, entry)
     if holding is not None and holding.epoch == entry.before:
-      # What this daemon has not written yet it goes on to write.
-      self.copies.keep(number, entry, holding.state)
+      # The replica starts without a tail of unwritten batches: the storage of
+      # this daemon still writes those that it has queued for the platform.
+      self.copies.become_standby(number, entry, holding.state)
     else:
-      self.copies.follow(number, entry)
+      self.copies.apply_entry(number, entry)
 
-  def _drop(self, holding: slots.Holding, entry: roster.Slot) -> None:
-    log.info('Slot %d goes to %s.', holding.number, entry.owner)
+  def _stop_serving(self, holding: slots.OwnedSlot, entry: roster.Slot) -> None:
+    log.info('Slot %d is now served by %s.', holding.number, entry.owner)
     if holding.is_claimed and holding.standby != entry.owner:
-      self._report_fork(holding)
-    holding.fail(slots.make_not_owner(f'Slot {holding.number} was taken.'))
+      self._record_fork(holding)
+    holding.fail(
+      slots.make_not_owner_error(
+        f'Slot {holding.number} has another owner now.'
+      )
+    )
     holding.opened.set()
 
-  def _report_fork(self, holding: slots.Holding) -> None:
-    # Two ends of a history exist; neither is dropped silently.
+  def _record_fork(self, holding: slots.OwnedSlot) -> None:
+    # The slot has two divergent histories.  That of the new owner stays in
+    # effect; this daemon's is stored for operators to merge.
     self.forks += 1
-    log.error('Slot %d has a second end at %s.', holding.number, self._address)
-    self.add_future(self._store.keep_fork(holding.number, holding.state))
+    log.error(
+      'Slot %d has divergent histories; storing that of %s.',
+      holding.number,
+      self._address,
+    )
+    self.add_future(self._store.store_fork(holding.number, holding.state))
 
-  async def _load(self, number: int) -> None:
-    # No copy is left in the domain.  An owner that is cut off from most of
-    # it notices within this time and stops.
+  async def _load_from_platform(self, number: int) -> None:
+    # The failure domain has no copy of the slot.  An owner that is cut off from
+    # most of the domain detects that within this delay and stops serving the
+    # slot.
     await asyncio.sleep(self._config.timing.silent_after)
     while number in self._loading:
       try:
         state = await self._store.load(number, answers=self._answers)
         break
       except errors.WoadrunError as error:
-        log.warning('Slot %d not loaded: %s', number, error.message)
+        log.warning('Load of slot %d failed: %s', number, error.message)
         await asyncio.sleep(self._config.timing.silent_after)
     entry = self._members.roster.slots[number]
     if number in self._loading and entry.owner == self._address:
       self._loading.discard(number)
       log.warning('Slot %d was loaded from the platform.', number)
-      self._begin(_make_holding(number, entry, state))
+      self._start_serving(_make_holding(number, entry, state))
 
   # --- Copying ---------------------------------------------------------------
 
-  async def copy(
-    self, holding: slots.Holding, standby: str, *, copy_id: str = ''
+  async def send_copy(
+    self, holding: slots.OwnedSlot, standby: str, *, copy_id: str = ''
   ) -> None:
-    """Sends an owned slot's state to a standby to be."""
+    """Sends an owned slot's state to its standby or future standby.
+
+    Raises `stale_epoch` if the receiver would not use the copy.
+    """
     message = messages.Sync(
       sender=self._address,
       slot=holding.number,
       version=holding.version,
       state=holding.state,
-      tail=self._store.get_unwritten(holding.number),
+      tail=self._store.get_unwritten_batches(holding.number),
       copy_id=copy_id,
     )
-    await self._send_copy(message, standby)
+    await self._post_copy(message, standby)
 
-  async def copy_replica(
+  async def send_replica(
     self, number: int, replica: slots.Replica, standby: str
   ) -> None:
-    """Sends the state of a slot that is being taken over."""
+    """Sends the replica of a slot that this daemon is taking over.
+
+    Raises `stale_epoch` if the receiver, the future standby, would not use it.
+    """
     message = messages.Sync(
       sender=self._address,
       slot=number,
@@ -380,15 +451,20 @@
       state=replica.state,
       tail=list(replica.tail),
     )
-    await self._send_copy(message, standby)
+    await self._post_copy(message, standby)
 
-  async def _send_copy(self, message: messages.Sync, standby: str) -> None:
+  async def _post_copy(self, message: messages.Sync, standby: str) -> None:
     await self._links.post(
-      standby, 'sync', message, type=messages.Done, timeout=SYNC_TIMEOUT
+      standby, 'sync', message, type=messages.Done, timeout=SYNC_TIMEOUT_SECONDS
     )
 
-  async def announce(self, held: list[slots.Holding], target: str) -> None:
-    """Tells a receiver of slots which of their calls are finished here."""
+  async def send_running_calls(
+    self, held: list[slots.OwnedSlot], target: str
+  ) -> None:
+    """Tells the future owner of slots which of their calls run here.
+
+    This daemon completes these calls: they are not moved with their slots.
+    """
     requests = [r for h in held for r in self.get_running(h.number)]
     if not requests:
       return
@@ -398,41 +474,47 @@
       requests=requests,
     )
     await self._links.post(
-      target, 'handover', message, type=messages.Done, timeout=ANNOUNCE_TIMEOUT
+      target,
+      'handover',
+      message,
+      type=messages.Done,
+      timeout=HANDOVER_TIMEOUT_SECONDS,
     )
 
-  async def _resync(self, holding: slots.Holding) -> None:
+  async def _resync(self, holding: slots.OwnedSlot) -> None:
     if holding.is_resyncing:
       return
     holding.is_resyncing = True
     holding.opened.clear()
     sequence = holding.state.sequence
     try:
-      await self.copy(holding, holding.standby)
-      self.note_copied(holding, sequence)
+      await self.send_copy(holding, holding.standby)
+      self.mark_replicated(holding, sequence)
     except errors.WoadrunError as error:
-      log.debug('Slot %d not copied: %s', holding.number, error)
+      log.debug('Copy of slot %d to standby failed: %s', holding.number, error)
     finally:
       holding.is_resyncing = False
       holding.opened.set()
 
-  def note_copied(self, holding: slots.Holding, sequence: int) -> None:
-    """Marks what a copy held as committed: the slot's standby has it."""
-    holding.settle(sequence, self._get_weight(holding))
+  def mark_replicated(self, holding: slots.OwnedSlot, sequence: int) -> None:
+    """Marks the batches that a copy contains as replicated to the standby."""
+    holding.settle(sequence, self._get_ack_level(holding))
 
-  def yield_slots(self, claims: dict[int, roster.Version]) -> None:
-    """Gives up what another daemon serves while the table is out.
+  def release_claimed_slots(self, claims: dict[int, roster.Version]) -> None:
+    """Stops serving slots that another daemon claims with a newer version.
 
-    A copy of the time before its claim is of no use any more.
+    A claim is newer than a version of the same epoch with a lower claim number.
+    Replicas that are older than the claims are dropped, since they may miss
+    later records.
     """
     for number, claim in claims.items():
-      self.copies.drop_before(number, claim)
-      holding = self.holding_by_slot.get(number)
-      if holding is not None and copies.is_after(claim, holding.version):
-        del self.holding_by_slot[number]
-        self._yielded[number] = claim.epoch
+      self.copies.drop_superseded(number, claim)
+      holding = self.owned_slot_by_number.get(number)
+      if holding is not None and copies.supersedes(claim, holding.version):
+        del self.owned_slot_by_number[number]
+        self._yielded_epoch_by_slot[number] = claim.epoch
         entry = roster.Slot(owner=claim.claimer, epoch=claim.epoch)
-        self._drop(holding, entry)
+        self._stop_serving(holding, entry)
 
   # --- Checkpoints ----------------------------------------------------------
 
@@ -443,27 +525,31 @@
       try:
         await self._checkpoint_all()
       except errors.WoadrunError as error:
-        log.debug('Checkpoint not written: %s', error)
+        log.debug('Checkpoint write failed: %s', error)
 
   def _get_checkpoint_interval(self) -> float:
-    # All slots of all daemons share a part of the platform's writes.
-    slots = len(self.holding_by_slot) * self._members.count_daemons()
-    budget = self._config.platform.writes_per_second * CHECKPOINT_SHARE
-    return pace.get_interval(self._config.timing.checkpoint, slots, budget)
+    # The checkpoints of all slots of all daemons share a part of the platform's
+    # write rate.  Their number is estimated from the slots owned here.
+    slot_count = len(self.owned_slot_by_number) * self._members.count_daemons()
+    budget = self._config.platform.writes_per_second * CHECKPOINT_WRITE_SHARE
+    return write_rate.get_interval(
+      self._config.timing.checkpoint, slot_count, budget
+    )
 
   async def _checkpoint_all(self) -> None:
-    for number, holding in list(self.holding_by_slot.items()):
-      if holding.checkpointed != holding.state.sequence:
+    for number, holding in list(self.owned_slot_by_number.items()):
+      if holding.checkpoint_sequence != holding.state.sequence:
         sequence = holding.state.sequence
         await self._store.checkpoint(number, holding.version, holding.state)
-        holding.checkpointed = sequence
+        holding.checkpoint_sequence = sequence
     known = self._members.roster
     live = set(known.incarnations) - self._members.get_silent()
+    # One live member of the domain deletes the objects that no load needs.
     if roster.rank('clean', live)[:1] == [self._address]:
       await self._store.clean(len(known.slots))
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the state of the slots as plain data."""
     return {
       'owned': {
         str(n): {
@@ -476,7 +562,7 @@
           'is_open': h.opened.is_set(),
           'is_claimed': h.is_claimed,
         }
-        for n, h in sorted(self.holding_by_slot.items())
+        for n, h in sorted(self.owned_slot_by_number.items())
       },
       'standing_by': self.copies.dump(),
       'loading': sorted(self._loading),
@@ -487,8 +573,8 @@
 
 def _make_holding(
   number: int, entry: roster.Slot, state: program.SlotState
-) -> slots.Holding:
-  return slots.Holding(
+) -> slots.OwnedSlot:
+  return slots.OwnedSlot(
     number=number,
     version=roster.Version(entry.epoch),
     standby=entry.standby,
--- a/src/woadrun/request/recovery.py
+++ b/src/woadrun/request/recovery.py
@@ -1,9 +1,16 @@
 """Recovery of calls that a previous owner of their slot started.
 
-An owner that hands over a slot finishes the calls that it executes, and the
-new owner waits for their outcomes.  The new owner recovers the calls that a
-dead owner left or that a previous owner gave up: it resumes a repeatable
-call, but only queries the service for the outcome of an action.
+A slot is a partition of the programs of a failure domain, and its owner is the
+daemon that executes and records the calls of these programs.  An owner that
+hands over a slot finishes the calls that it executes, and the new owner waits
+for their outcomes.  The new owner recovers the calls that a dead owner left
+unfinished, and those that an owner gave up because it could not commit their
+outcomes.  It resumes a repeatable call (a model call, or a service call that
+the caller declared repeatable).  Any other call is an action, which must not
+run twice: the service is only queried for its outcome.
+
+A request may have several attempts, one after the other; each one starts with
+an `Accepted` record.
 """
 
 from __future__ import annotations
@@ -31,14 +38,16 @@
 
 log = logging.getLogger('woadrun.recovery')
 
-# Interval between scans for accepted calls that no daemon executes.
+# Interval between scans for accepted calls that no daemon executes.  Calls of a
+# new slot are recovered at once; the scans find those given up later.
 ORPHAN_SCAN_INTERVAL_SECONDS = 5.0
 
+# The ids of a program and of one of its requests.
 Key = tuple[str, str]
 
 
 class Recovery(mode.Service):
-  """Recovers calls of this daemon's slots that other daemons started."""
+  """Recovers calls of this daemon's slots that no daemon executes any more."""
 
   def __init__(
     self,
@@ -48,7 +57,7 @@
     held: ownership.Ownership,
     table: configuration.Configuration,
     links: peers.Peers,
-    places: placing.Placing,
+    places: placing.CallPlacer,
     back: upstreams.Upstreams,
     run: runner.Runner,
   ) -> None:
@@ -61,22 +70,23 @@
     self._places = places
     self._upstreams = back
     self._runner = run
-    self._elsewhere: dict[Key, messages.Handover] = {}
+    # Calls that a previous owner still executes, and its message about them.
+    self._handover_by_key: dict[Key, messages.Handover] = {}
     # Calls whose recovery task is waiting or has yet to start the execution.
     self._recovering: set[Key] = set()
-    held.on_owned = self._recover_slot
+    held.on_slot_owned = self._recover_slot
 
   # --- Calls that a previous owner finishes ---------------------------------
 
-  def note_handover(self, message: messages.Handover) -> messages.Done:
+  def record_handover(self, message: messages.Handover) -> messages.Done:
     """Records which calls of incoming slots their previous owner finishes."""
     for _, program_id, request in message.requests:
-      self._elsewhere[(program_id, request)] = message
+      self._handover_by_key[(program_id, request)] = message
     self.add_future(self._poll_previous_owner(message))
     return messages.Done()
 
   async def _poll_previous_owner(self, handover: messages.Handover) -> None:
-    """Polls the previous owner until none of its calls is left to finish.
+    """Polls a previous owner until it has finished or given up its calls.
 
     The previous owner sends the outcome of a call before it stops reporting
     the call as running.  A call that it no longer reports and that has no
@@ -86,15 +96,22 @@
       (program_id, request) for _, program_id, request in handover.requests
     }
     while unfinished := {
-      key for key in unfinished if self._elsewhere.get(key) is handover
+      key for key in unfinished if self._handover_by_key.get(key) is handover
     }:
       for key in unfinished - await self._query_running(handover, unfinished):
-        self._elsewhere.pop(key, None)
+        self._handover_by_key.pop(key, None)
       await asyncio.sleep(self._config.timing.heartbeat)
 
   async def _query_running(
     self, handover: messages.Handover, keys: set[Key]
   ) -> set[Key]:
+    """Returns which of the calls the previous owner still executes.
+
+    Returns none if its process was restarted or is unreachable, and all calls
+    if it sent no valid response but is alive.
+    """
+    # The incarnation identifies a process at its address.  It is unknown if
+    # the previous owner is no longer in the roster, but it may still run.
     incarnation = self._members.roster.incarnations.get(handover.sender)
     if incarnation not in (None, handover.incarnation):
       return set()
@@ -107,22 +124,31 @@
         timeout=self._config.timing.silent_after,
       )
     except errors.WoadrunError:
-      is_alive = await self._members.is_heard_by_others(handover.sender)
+      is_alive = await self._members.is_member_reachable(handover.sender)
       return keys if is_alive else set()
     return set(answer.requests)
 
-  async def note_finished(self, message: messages.Finish) -> messages.Recorded:
-    """Commits the outcome of a call that a previous owner finished."""
+  async def note_finished(
+    self, message: messages.ReportOutcome
+  ) -> messages.OutcomeRecorded:
+    """Commits the outcome of a call that a previous owner finished.
+
+    Returns whether the call has this outcome now, rather than another one.
+    Raises an error if this daemon does not own the slot or cannot commit.
+    """
     recorded = await self._runner.note_finished(message)
     key = (message.record.program, message.record.request)
     if self._find_running_attempt(key) is None:
       # If an attempt is still running, the record was that of an earlier
       # attempt, and the previous owner still executes the running one.
-      self._elsewhere.pop(key, None)
+      self._handover_by_key.pop(key, None)
     return recorded
 
-  def find_running(self, message: messages.Requests) -> messages.Requests:
-    """Returns which of the calls this daemon still executes or records."""
+  def get_running_calls(self, message: messages.Requests) -> messages.Requests:
+    """Returns which of the calls in a message are in progress here.
+
+    These are the calls that this daemon executes or whose outcome it records.
+    """
     return messages.Requests(
       requests=[
         key for key in message.requests if self._runner.is_in_progress(key)
@@ -131,7 +157,8 @@
 
   # --- Calls that no daemon executes ----------------------------------------
 
-  def _recover_slot(self, holding: slots.Holding) -> None:
+  def _recover_slot(self, holding: slots.OwnedSlot) -> None:
+    """Starts to recover a slot's unfinished calls, if not yet in progress."""
     for program_id, found in holding.state.program_by_id.items():
       for request in found.get_running():
         key = (program_id, request.accepted.request)
@@ -148,25 +175,27 @@
     # or another daemon gave up.
     while not self.should_stop:
       await self.sleep(ORPHAN_SCAN_INTERVAL_SECONDS)
-      for holding in list(self._held.holding_by_slot.values()):
+      for holding in list(self._held.owned_slot_by_number.values()):
         self._recover_slot(holding)
 
   async def _recover(self, key: Key, accepted: program.Accepted) -> None:
-    """Starts the execution of a call that a previous owner left unfinished."""
+    """Executes an unfinished call once no previous owner executes it."""
     try:
-      await self._wait_elsewhere(key)
+      await self._wait_for_previous_owner(key)
       self._start_recovery(key, accepted)
     finally:
       self._recovering.discard(key)
 
-  async def _wait_elsewhere(self, key: Key) -> None:
-    while key in self._elsewhere:
+  async def _wait_for_previous_owner(self, key: Key) -> None:
+    # Checked more often than the previous owner is polled: its report of the
+    # outcome may arrive at any time.
+    while key in self._handover_by_key:
       await asyncio.sleep(self._config.timing.heartbeat / 10)
 
   def _find_running_attempt(self, key: Key) -> program.Accepted | None:
     """Returns the running attempt of a call, or None if there is none."""
     _, slot = calls.split_program_id(key[0])
-    holding = self._held.holding_by_slot.get(slot)
+    holding = self._held.owned_slot_by_number.get(slot)
     found = holding.state.program_by_id.get(key[0]) if holding else None
     request = found.request_by_id.get(key[1]) if found else None
     if request is None or not request.is_running:
@@ -179,6 +208,7 @@
     return found is not None and found.attempt == accepted.attempt
 
   def _start_recovery(self, key: Key, accepted: program.Accepted) -> None:
+    """Starts the execution unless the attempt has ended or is in progress."""
     if not self._is_current(key, accepted) or self._runner.is_in_progress(key):
       return
     call = calls.Call(
@@ -187,6 +217,7 @@
       call=accepted.call,
       target=accepted.target,
       body=msgspec.Raw(accepted.body.encode()),
+      # All teams: the caller was authorized before the call was accepted.
       teams=['*'],
       repeatable=accepted.repeatable,
     )
@@ -201,6 +232,7 @@
   async def _execute_recovered(
     self, running: execution.Execution, accepted: program.Accepted
   ) -> None:
+    """Resumes a call after those before it; errors go to its readers."""
     key = (accepted.program, accepted.request)
     await self._runner.program_locks.acquire(accepted.program)
     try:
@@ -218,6 +250,13 @@
   async def _resume(
     self, running: execution.Execution, accepted: program.Accepted
   ) -> None:
+    """Resumes a repeatable call, or queries the outcome of an action.
+
+    Records the outcome and delivers the answer.  An action whose outcome the
+    service cannot tell is recorded as unknown.  Raises the error of a failed
+    call, `outcome_unknown` for such an action, and `owner_unavailable` if
+    another outcome was recorded first.
+    """
     _, slot = calls.split_program_id(accepted.program)
     holding = await self._held.open(slot)
     found = holding.state.get_program(accepted.program)
@@ -226,7 +265,9 @@
       'Resuming request %s of program %s.', accepted.request, accepted.program
     )
     if accepted.repeatable:
-      place = self._places.get_place(accepted.upstream, is_resumed=True)
+      place = self._places.make_resumed_assignment(
+        accepted.upstream, is_resumed=True
+      )
       await self._runner.perform(running, accepted, place, row)
       return
     outcome = await self._upstreams.query_outcome(accepted)
@@ -243,8 +284,8 @@
     raise error
 
   def dump(self) -> dict[str, object]:
-    """Returns the state of this part as plain data."""
+    """Returns the number of calls to recover, for debugging."""
     return {
-      'elsewhere': len(self._elsewhere),
+      'elsewhere': len(self._handover_by_key),
       'recovering': len(self._recovering),
     }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Rosters and silence, without a network."""
+"""Tests of rosters and failure detection without a network."""
 
 import asyncio
 
@@ -48,12 +48,12 @@
   slots=strategies.integers(1, 128),
   chance=strategies.randoms(use_true_random=False),
 )
-def test_slots_are_shared_evenly_in_few_rounds(size, slots, chance):
+def test_slots_are_balanced_within_few_rounds(size, slots, chance):
   members = [f'm{n:02}' for n in range(size)]
-  # The worst start: one daemon came first and owns all.
+  # Worst case: a daemon that joined first owns all slots.
   known = make_roster(members, [chance.choice(members[:2])] * slots)
   for _ in range(2 * size.bit_length() + 2):
-    plans = [roster.plan_give_away(known, m, unfit=set()) for m in members]
+    plans = [roster.plan_rebalance(known, m, unfit=set()) for m in members]
     receivers = [target for numbers, target in plans if numbers]
     assert len(receivers) == len(set(receivers))
     for numbers, target in plans:
@@ -71,10 +71,10 @@
   def begin(self, slot, tail):
     pass
 
-  def get_written(self, slot):
+  def get_written_sequence(self, slot):
     return 0
 
-  def get_unwritten(self, slot):
+  def get_unwritten_batches(self, slot):
     return []
 
 
@@ -104,7 +104,7 @@
   return found, clock
 
 
-def make_beat(sender, **values):
+def make_heartbeat(sender, **values):
   return messages.Heartbeat(
     sender=sender,
     domain='north',
@@ -115,16 +115,16 @@
   )
 
 
-async def test_a_member_newly_watched_is_not_silent_at_once(monkeypatch):
+async def test_new_heartbeat_target_is_not_silent_at_once(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(SIZE)]
   found, clock = make_membership(monkeypatch, members[0])
   found.adopt(make_roster(members, members))
   for _ in range(30):
     clock.now += 1.0
-    for member in found._targets:
-      found.note_heartbeat(make_beat(member))
+    for member in found._heartbeat_targets:
+      found.record_heartbeat(make_heartbeat(member))
   assert not found.get_silent()
-  # A change of pairs makes others partners, unheard for long.
+  # A change of pairs adds a partner that this daemon has not heard from before.
   far = [members[0], members[12], *members]
   new = make_roster(members, far[:SIZE])
   slots = (roster.Slot(owner=members[0], standby=members[12]), *new.slots[1:])
@@ -133,35 +133,35 @@
       domain='north', version=2, incarnations=new.incarnations, slots=slots
     )
   )
-  assert members[12] in found._targets
+  assert members[12] in found._heartbeat_targets
   assert not found.get_silent()
   clock.now += 3.0
   assert members[12] in found.get_silent()
 
 
-async def test_a_late_event_loop_is_logged(monkeypatch, caplog):
-  """Without it no log tells whether a silent daemon was frozen or cut off."""
+async def test_event_loop_delay_is_logged(monkeypatch, caplog):
+  """Guards the only log line that tells a frozen daemon from a cut-off one."""
   found, _ = make_membership(monkeypatch, '127.0.0.1:8000')
-  found._note_late(0.1)
+  found._log_loop_delay(0.1)
   assert not caplog.records
-  found._note_late(5.3)
+  found._log_loop_delay(5.3)
   assert 'late by 5.3 s' in caplog.text
 
 
-async def test_a_rumour_of_silence_is_not_passed_on(monkeypatch):
+async def test_reported_suspicion_is_not_forwarded(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(SIZE)]
   found, clock = make_membership(monkeypatch, members[0])
   found.adopt(make_roster(members, members))
-  stranger = next(m for m in members[1:] if m not in found._targets)
-  teller = found._targets[0]
-  found.note_heartbeat(make_beat(teller, suspects=[stranger]))
-  assert stranger in found.get_silent()
-  assert stranger not in found.make_heartbeat().suspects
-  clock.now += membership.SUSPECT_SECONDS + 1.0
-  assert stranger not in found.get_silent()
+  suspect = next(m for m in members[1:] if m not in found._heartbeat_targets)
+  reporter = found._heartbeat_targets[0]
+  found.record_heartbeat(make_heartbeat(reporter, suspects=[suspect]))
+  assert suspect in found.get_silent()
+  assert suspect not in found.make_heartbeat().suspects
+  clock.now += membership.SUSPICION_TTL_SECONDS + 1.0
+  assert suspect not in found.get_silent()
 
 
-async def test_a_claim_outlasts_changes_of_other_slots(monkeypatch):
+async def test_claim_survives_roster_changes_of_other_slots(monkeypatch):
   members = [f'127.0.0.1:{8000 + n}' for n in range(3)]
   found, _ = make_membership(monkeypatch, members[0])
   held = ownership.Ownership(
@@ -180,23 +180,23 @@
     )
 
   found.adopt(make(1, entries))
-  claim = slots.Holding(
+  claim = slots.OwnedSlot(
     number=0,
     version=roster.Version(1, 1, members[0]),
     standby='',
     state=program.SlotState(sequence=7),
     is_claimed=True,
   )
-  held.holding_by_slot[0] = claim
+  held.owned_slot_by_number[0] = claim
   other = roster.Slot(owner=members[2], standby=members[0], epoch=2, before=1)
   found.adopt(make(2, [entries[0], other]))
-  assert held.holding_by_slot == {0: claim} and claim.is_claimed
-  # The table's word on the claim itself ends it.
+  assert held.owned_slot_by_number == {0: claim} and claim.is_claimed
+  # Only a roster change of the claimed slot ends the claim.
   mine = roster.Slot(
     owner=members[0], standby=members[2], epoch=3, before=1, owner_before=1
   )
   found.adopt(make(3, [mine, other]))
-  assert held.holding_by_slot == {0: claim} and not claim.is_claimed
+  assert held.owned_slot_by_number == {0: claim} and not claim.is_claimed
   assert claim.epoch == 3 and claim.state.sequence == 7
 
 
@@ -215,23 +215,23 @@
   return recovery.Recovery(run=runner.Runner(**parts), **parts)
 
 
-async def test_a_giver_that_started_anew_finishes_no_calls():
+async def test_calls_of_a_restarted_previous_owner_are_not_awaited():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
   run = make_recovery(found, None)
   found.adopt(make_roster(members, members))
-  found.note_heartbeat(make_beat(members[1]))
+  found.record_heartbeat(make_heartbeat(members[1]))
   message = messages.Handover(
     sender=members[1], incarnation='earlier', requests=[(0, 'p', 'r')]
   )
-  run.note_handover(message)
-  # The process that is heard now is another one: nobody is waited for.
-  await asyncio.wait_for(run._wait_elsewhere(('p', 'r')), 10)
-  assert not run._elsewhere
+  run.record_handover(message)
+  # Another process runs at the address now, so the call is not awaited.
+  await asyncio.wait_for(run._wait_for_previous_owner(('p', 'r')), 10)
+  assert not run._handover_by_key
 
 
 class Links:
-  """Other daemons, that answer as told and forget what was asked."""
+  """Fakes the other daemons: answers each message with a given function."""
 
   def __init__(self, answer):
     self.answer = answer
@@ -240,34 +240,34 @@
     return self.answer(path, message)
 
 
-async def test_a_giver_that_finishes_a_call_no_more_is_not_waited_for():
+async def test_call_abandoned_by_its_previous_owner_is_not_awaited():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
-  still = {('p', 'r'), ('p', 's')}
+  running = {('p', 'r'), ('p', 's')}
   links = Links(
     lambda path, ask: messages.Requests(
-      requests=[r for r in ask.requests if r in still]
+      requests=[r for r in ask.requests if r in running]
     )
   )
   run = make_recovery(found, links)
   found.adopt(make_roster(members, members))
-  found.note_heartbeat(make_beat(members[1]))
-  run.note_handover(
+  found.record_heartbeat(make_heartbeat(members[1]))
+  run.record_handover(
     messages.Handover(
       sender=members[1],
       incarnation='i',
       requests=[(0, 'p', 'r'), (0, 'p', 's')],
     )
   )
-  still.discard(('p', 'r'))
-  # The giver lives on, yet it has given up this call, and only this one.
-  await asyncio.wait_for(run._wait_elsewhere(('p', 'r')), 10)
-  assert set(run._elsewhere) == {('p', 's')}
-  still.clear()
-  await asyncio.wait_for(run._wait_elsewhere(('p', 's')), 10)
+  running.discard(('p', 'r'))
+  # The previous owner is alive but has abandoned one of the two calls.
+  await asyncio.wait_for(run._wait_for_previous_owner(('p', 'r')), 10)
+  assert set(run._handover_by_key) == {('p', 's')}
+  running.clear()
+  await asyncio.wait_for(run._wait_for_previous_owner(('p', 's')), 10)
 
 
-async def test_a_call_taken_back_while_its_slot_is_closed_runs_no_more():
+async def test_call_withdrawn_while_its_slot_is_closed_is_not_run():
   found, _ = make_membership(None, '127.0.0.1:8000')
   run = make_recovery(found, None)
   accepted = program.Accepted(
@@ -280,28 +280,30 @@
   )  # fmt: skip
   state = program.SlotState()
   state.apply([started, accepted], answers=1)
-  holding = slots.Holding(
+  holding = slots.OwnedSlot(
     number=0, version=roster.Version(1), standby='', state=state
   )
-  run._held.holding_by_slot[0] = holding
-  error = slots.make_not_owner('The slot changes hands.')
-  taking = asyncio.ensure_future(run._runner._take_back(accepted, error))
+  run._held.owned_slot_by_number[0] = holding
+  error = slots.make_not_owner_error('The slot is being transferred.')
+  withdrawal = asyncio.ensure_future(
+    run._runner._record_not_run(accepted, error)
+  )
   await asyncio.sleep(0)
-  # Until the slot is open again, the call is known to be cared for.
+  # The call counts as running here until the slot is open again.
   ask = messages.Requests(requests=[('north.000.a', 'r'), ('north.000.a', 'x')])
-  assert run.find_running(ask).requests == [('north.000.a', 'r')]
+  assert run.get_running_calls(ask).requests == [('north.000.a', 'r')]
   assert list(state.get_program('north.000.a').get_running())
   holding.opened.set()
-  await asyncio.wait_for(taking, 10)
+  await asyncio.wait_for(withdrawal, 10)
   assert not list(state.get_program('north.000.a').get_running())
-  assert error.ran is errors.Ran.NOT_RUN
-  assert run.find_running(ask).requests == []
+  assert error.ran is errors.RunStatus.NOT_RUN
+  assert run.get_running_calls(ask).requests == []
 
 
-async def test_permits_of_a_process_end_with_it_at_the_same_address():
+async def test_permits_of_a_restarted_process_are_dropped():
   members = [f'127.0.0.1:{8000 + n}' for n in range(2)]
   found, _ = make_membership(None, members[0])
-  permits = dispatcher.Dispatcher(
+  permits = dispatcher.PermitDispatcher(
     config=found._config, members=found, links=None
   )
   found.adopt(make_roster(members, members))
@@ -309,14 +311,14 @@
   permits.upstream_by_name['e'] = upstream
   holder = directory.make_process_name(members[1], 'i')
   upstream.holder_by_permit['p'] = holder
-  permits._drop_gone()
+  permits._release_dead_holders()
   assert upstream.holder_by_permit == {'p': holder}
   known = roster.with_member(found.roster, members[1], 'later')
   found.adopt(msgspec.structs.replace(known, version=2))
   assert not upstream.holder_by_permit
 
 
-async def test_no_slot_is_adopted_that_another_member_has_a_copy_of(
+async def test_slot_with_a_copy_on_another_member_is_not_adopted(
   monkeypatch,
 ):
   members = [f'127.0.0.1:{8000 + n}' for n in range(3)]
@@ -328,7 +330,7 @@
   )
   found.adopt(known)
   clock.now += 5.0
-  found.note_heartbeat(make_beat(members[2]))
+  found.record_heartbeat(make_heartbeat(members[2]))
   assert found.get_silent() == {members[1]}
 
   def answer(path, message):
@@ -344,7 +346,7 @@
     members=found,
     links=Links(answer),
     held=held,
-    without_table=None,
+    outage_handler=None,
   )
   found._links = Links(answer)
   changed = []
@@ -352,7 +354,7 @@
   async def change(step):
     changed.append(step(found.roster))
 
-  monkeypatch.setattr(found, 'change', change)
+  monkeypatch.setattr(found, 'update_roster', change)
   await moves._adopt_orphans({members[1]})
   [new] = changed
   adopted = roster.get_owned(new, members[0])
