--- a/src/woadrun/standins/local.py
+++ b/src/woadrun/standins/local.py
@@ -1,6 +1,8 @@
-"""A deployment on loopback: stand-ins, and settings for daemons.
+"""Runs the stand-ins of a deployment on loopback and makes daemon settings.
 
-The demo, the tests and the benchmarks use it.
+It starts and stops the stand-ins for the platform, the engines and the
+services, finds free ports, makes and checks the settings of daemons that use
+these stand-ins, and sets the platform's list of VMs.
 """
 
 from __future__ import annotations
