--- a/src/woadrun/standins/local.py
+++ b/src/woadrun/standins/local.py
@@ -1,8 +1,6 @@
-"""Runs the stand-ins of a deployment on loopback and makes daemon settings.
+"""A deployment on loopback: stand-ins, and settings for daemons.
 
-It starts and stops the stand-ins for the platform, the engines and the
-services, finds free ports, makes and checks the settings of daemons that use
-these stand-ins, and sets the platform's list of VMs.
+The demo, the tests and the benchmarks use it.
 """
 
 from __future__ import annotations
